--- a/coord/rest/rest.go
+++ b/coord/backoff/rest.go
@@ -5,7 +5,7 @@
 // turned away together do not return together, see returnShare.
 //
 // Table has no clock and does no I/O. It is not safe for concurrent use.
-package rest
+package backoff
 
 import (
 	"maps"
--- a/coord/rest/rest_test.go
+++ b/coord/backoff/rest_test.go
@@ -1,4 +1,4 @@
-package rest
+package backoff
 
 import (
 	"testing"
--- a/coord/duty/duty.go
+++ b/coord/leadership/duty.go
@@ -17,7 +17,7 @@
 // Only VMs with enough capacity take the duty, since it is work for all others.
 // The holder stays the holder while it is live: a VM that returns does not take
 // the duty back.
-package duty
+package leadership
 
 import (
 	"time"
--- a/coord/duty/duty_test.go
+++ b/coord/leadership/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package leadership
 
 import (
 	"fmt"
--- a/coord/loadturn/loadturn.go
+++ b/coord/loadpermit/loadturn.go
@@ -5,7 +5,7 @@
 //
 // Turns go to the request of the highest value. A turn that is not given back
 // is taken back after Hold. Operations are O(waiting).
-package loadturn
+package loadpermit
 
 import "time"
 
--- a/coord/replay_test.go
+++ b/coord/replay_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/junctionfold/junctionfold/coord"
 	"github.com/junctionfold/junctionfold/coord/dispatch"
-	"github.com/junctionfold/junctionfold/coord/loadturn"
+	"github.com/junctionfold/junctionfold/coord/loadpermit"
 	"github.com/junctionfold/junctionfold/coord/placement"
 	"github.com/junctionfold/junctionfold/coord/rendezvous"
 )
@@ -390,7 +390,7 @@
 	sched   *placement.Scheduler
 	board   *placement.Board
 	spread  *placement.Spread
-	giver   *loadturn.Giver
+	giver   *loadpermit.Giver
 	engines []*ourEngine
 	asks    map[uint64]*ourEngine
 	nextAsk uint64
@@ -413,7 +413,7 @@
 	o := &ours{
 		replay: r, sched: placement.Default(), board: placement.NewBoard(placement.DefaultBoardConfig()),
 		spread: placement.NewSpread(placement.DefaultSpreadConfig()), tune: tune,
-		giver: loadturn.New(loadturn.Config{PerSecond: 3, Concurrent: 1, Hold: 5 * time.Second}),
+		giver: loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, Hold: 5 * time.Second}),
 		asks:  map[uint64]*ourEngine{}, byID: map[coord.TargetID]*ourEngine{},
 	}
 	var targets []placement.Target
@@ -492,7 +492,7 @@
 			e.sys.nextAsk++
 			e.turn = e.sys.nextAsk
 			e.sys.asks[e.turn] = e
-			e.sys.grant(e.sys.giver.Ask(now, loadturn.Ask{ID: e.turn, Value: a.Value}))
+			e.sys.grant(e.sys.giver.Ask(now, loadpermit.Ask{ID: e.turn, Value: a.Value}))
 		case dispatch.ActRaiseTurn:
 			e.sys.giver.Raise(e.turn, a.Value)
 		case dispatch.ActGiveTurn:
--- a/coord/line/line.go
+++ b/coord/servicequeue/line.go
@@ -15,7 +15,7 @@
 //
 // Line has no clock and does no I/O: events come in with the time, actions come out. It is not
 // safe for concurrent use. Where the VM that runs it is silent, others go on without it.
-package line
+package servicequeue
 
 import (
 	"cmp"
--- a/coord/line/rates.go
+++ b/coord/servicequeue/rates.go
@@ -1,4 +1,4 @@
-package line
+package servicequeue
 
 import (
 	"slices"
--- a/examples/embedded/main.go
+++ b/examples/embedded/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/junctionfold/junctionfold/coord"
 	"github.com/junctionfold/junctionfold/coord/dispatch"
-	"github.com/junctionfold/junctionfold/coord/loadturn"
+	"github.com/junctionfold/junctionfold/coord/loadpermit"
 )
 
 // host carries out what a dispatcher asks for. A real one sends requests and
@@ -17,7 +17,7 @@
 type host struct {
 	now    time.Time
 	target *dispatch.Dispatcher
-	turns  *loadturn.Giver
+	turns  *loadpermit.Giver
 	asked  uint64
 }
 
@@ -27,7 +27,7 @@
 	h := &host{
 		now:    time.Unix(0, 0),
 		target: dispatch.New(cfg),
-		turns:  loadturn.New(loadturn.Config{PerSecond: 3, Concurrent: 1, Hold: 5 * time.Second}),
+		turns:  loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, Hold: 5 * time.Second}),
 	}
 	for i, name := range []string{"plough-notes", "plough-notes", "storm-summary"} {
 		adapter := coord.Adapter{Name: name, Version: "v1"}
@@ -53,7 +53,7 @@
 			fmt.Printf("%4d ms  refuse request %d: %s\n", h.millis(), a.Handle, a.Cause)
 		case dispatch.ActAskTurn:
 			h.asked++
-			h.grant(h.turns.Ask(h.now, loadturn.Ask{ID: h.asked, Value: a.Value}))
+			h.grant(h.turns.Ask(h.now, loadpermit.Ask{ID: h.asked, Value: a.Value}))
 		case dispatch.ActGiveTurn:
 			h.grant(h.turns.Cancel(h.now, h.asked))
 		case dispatch.ActLoad:
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -24,7 +24,7 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 
 	"github.com/junctionfold/junctionfold/coord"
-	"github.com/junctionfold/junctionfold/coord/duty"
+	"github.com/junctionfold/junctionfold/coord/leadership"
 	"github.com/junctionfold/junctionfold/coord/retry"
 	"github.com/junctionfold/junctionfold/coord/roster"
 	"github.com/junctionfold/junctionfold/internal/clock"
@@ -132,7 +132,7 @@
 	// inForce is settings with what was reloaded.
 	inForce  *schema.EdgeSettings
 	roster   *roster.Roster
-	duty     *duty.Machine
+	duty     *leadership.Machine
 	lastTick time.Time
 	// askedRoster is when another VM was last asked for all its entries.
 	askedRoster time.Time
@@ -180,7 +180,7 @@
 	if s.Orders.EnginesCheckFence {
 		wait = min(wait, fencedWait)
 	}
-	n.duty = duty.New(n.began, self, dutyName, wait, s.Orders.EnginesCheckFence)
+	n.duty = leadership.New(n.began, self, dutyName, wait, s.Orders.EnginesCheckFence)
 	n.acting.Store(new(coord.VMID))
 	n.vms.Store(1)
 	n.readers.Store(&[]roster.Entry{})
--- a/internal/edge/lines.go
+++ b/internal/edge/lines.go
@@ -9,8 +9,8 @@
 
 	"github.com/junctionfold/junctionfold/coord"
 	"github.com/junctionfold/junctionfold/coord/balance"
-	"github.com/junctionfold/junctionfold/coord/line"
 	"github.com/junctionfold/junctionfold/coord/scheduler"
+	"github.com/junctionfold/junctionfold/coord/servicequeue"
 	"github.com/junctionfold/junctionfold/internal/feed"
 	"github.com/junctionfold/junctionfold/internal/fleet"
 	"github.com/junctionfold/junctionfold/schema"
@@ -29,11 +29,11 @@
 // plainLine is the line of one service.
 type plainLine struct {
 	service string
-	l       *line.Line
+	l       *servicequeue.Line
 	waiters waiters
 	// targets that take requests, and usable the same for the line.
 	targets map[string]*fleet.Target
-	usable  []line.Target
+	usable  []servicequeue.Target
 	// revision of the store that targets show.
 	revision fleet.Revision
 }
@@ -60,7 +60,7 @@
 		for _, t := range d.Of(name) {
 			if t.State == fleet.TargetReady {
 				pl.targets[t.ID] = t
-				pl.usable = append(pl.usable, line.Target{ID: t.ID, Zone: t.Zone, Slots: t.Slots})
+				pl.usable = append(pl.usable, servicequeue.Target{ID: t.ID, Zone: t.Zone, Slots: t.Slots})
 			}
 		}
 		ls.answer(pl, pl.l.SetTargets(ls.node.now(), pl.usable))
@@ -68,8 +68,8 @@
 }
 
 // newLine returns an empty line that knows which targets limit their rate.
-func (ls *lines) newLine() *line.Line {
-	l := line.New()
+func (ls *lines) newLine() *servicequeue.Line {
+	l := servicequeue.New()
 	rates, share := ls.node.rateLimits.current()
 	l.SetRates(ls.node.now(), rates, share)
 	return l
@@ -89,16 +89,16 @@
 }
 
 func (ls *lines) tick() {
-	ls.each(func(pl *plainLine, now time.Time) []line.Action { return pl.l.Tick(now) })
+	ls.each(func(pl *plainLine, now time.Time) []servicequeue.Action { return pl.l.Tick(now) })
 }
 
 // drop forgets what a VM asked and runs that is silent, or whose process before this
 // incarnation is gone.
 func (ls *lines) drop(vm coord.VMID, before uint64) {
-	ls.each(func(pl *plainLine, now time.Time) []line.Action { return pl.l.Drop(now, vm, before) })
+	ls.each(func(pl *plainLine, now time.Time) []servicequeue.Action { return pl.l.Drop(now, vm, before) })
 }
 
-func (ls *lines) each(f func(pl *plainLine, now time.Time) []line.Action) {
+func (ls *lines) each(f func(pl *plainLine, now time.Time) []servicequeue.Action) {
 	now := ls.node.now()
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -113,15 +113,15 @@
 // admit asks the line of a service and waits for its verdict.
 func (ls *lines) admit(ctx context.Context, from coord.VMID, a *schema.Admit) *schema.Verdict {
 	now := ls.node.now()
-	key := line.Key{VM: from, Ticket: a.Ticket}
+	key := servicequeue.Key{VM: from, Ticket: a.Ticket}
 	ls.mu.Lock()
 	pl := ls.services[a.Service]
 	if pl == nil {
 		ls.mu.Unlock()
-		return refusal(line.ReasonNoTarget, unknownPause)
+		return refusal(servicequeue.ReasonNoTarget, unknownPause)
 	}
 	verdict := pl.waiters.add(key)
-	r := line.Request{
+	r := servicequeue.Request{
 		Key: key, Zone: a.Zone, Priority: int(a.Priority), Exclude: slices.Concat(a.Exclude, a.Resting),
 		Deadline: now.Add(time.Duration(a.LeftMs) * time.Millisecond),
 	}
@@ -141,7 +141,7 @@
 	if !known {
 		how = balance.Abandoned
 	}
-	key := line.Key{VM: from, Ticket: d.Ticket}
+	key := servicequeue.Key{VM: from, Ticket: d.Ticket}
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	pl := ls.services[d.Service]
@@ -154,7 +154,7 @@
 }
 
 // answer gives verdicts to those who wait. ls.mu is held.
-func (ls *lines) answer(pl *plainLine, acts []line.Action) {
+func (ls *lines) answer(pl *plainLine, acts []servicequeue.Action) {
 	for _, a := range acts {
 		answered := pl.waiters.answer(a.Key, pl.targets, ls.node.rateLimits.Limit(a.Target), &schema.Verdict{
 			Target: a.Target, RetryAfterMs: a.RetryAfter.Milliseconds(), Reason: a.Reason,
@@ -167,7 +167,7 @@
 }
 
 // stats sums the lines of all services; of times it has the longest.
-func (ls *lines) stats() (sum line.Stats) {
+func (ls *lines) stats() (sum servicequeue.Stats) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for _, pl := range ls.services {
--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/junctionfold/junctionfold/coord"
-	"github.com/junctionfold/junctionfold/coord/duty"
+	"github.com/junctionfold/junctionfold/coord/leadership"
 	"github.com/junctionfold/junctionfold/coord/roster"
 	"github.com/junctionfold/junctionfold/coord/scheduler"
 	"github.com/junctionfold/junctionfold/internal/clock"
@@ -35,7 +35,7 @@
 func TestOrdersAreGivenUnderTheirLease(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	r := roster.New(roster.Config{Start: now}, roster.Entry{ID: "a", Address: "a", Incarnation: 1})
-	m := duty.New(now.Add(-time.Minute), "a", dutyName, time.Second, true)
+	m := leadership.New(now.Add(-time.Minute), "a", dutyName, time.Second, true)
 	assert.Assert(t, m.Update(now, r))
 	m.Take(now, 7, true)
 	engines := &countingEngines{}
--- a/internal/edge/ratelimits.go
+++ b/internal/edge/ratelimits.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/junctionfold/junctionfold/coord"
-	"github.com/junctionfold/junctionfold/coord/line"
 	"github.com/junctionfold/junctionfold/coord/ratelimit"
 	"github.com/junctionfold/junctionfold/coord/scheduler"
+	"github.com/junctionfold/junctionfold/coord/servicequeue"
 	"github.com/junctionfold/junctionfold/internal/fleet"
 	"github.com/junctionfold/junctionfold/internal/gateway"
 	"github.com/junctionfold/junctionfold/schema"
@@ -185,5 +185,5 @@
 
 // setRates replaces the limits of targets.
 func (ls *lines) setRates(rates map[string]float64, share float64) {
-	ls.each(func(pl *plainLine, now time.Time) []line.Action { return pl.l.SetRates(now, rates, share) })
+	ls.each(func(pl *plainLine, now time.Time) []servicequeue.Action { return pl.l.SetRates(now, rates, share) })
 }
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -19,8 +19,8 @@
 
 	"github.com/junctionfold/junctionfold/internal/fleet"
 
-	"github.com/junctionfold/junctionfold/coord/line"
 	"github.com/junctionfold/junctionfold/coord/scheduler"
+	"github.com/junctionfold/junctionfold/coord/servicequeue"
 	"github.com/junctionfold/junctionfold/internal/logging"
 )
 
@@ -197,7 +197,7 @@
 
 // LineRefused is written where the line of a plain service refuses a request: how many wait
 // and run, how many a target gets at once, and how long a call takes.
-func (l *Log) LineRefused(peer string, ticket uint64, service, reason string, s line.Stats) {
+func (l *Log) LineRefused(peer string, ticket uint64, service, reason string, s servicequeue.Stats) {
 	l.info("line_refused", log.Fields{
 		"peer": peer, "ticket": ticket, "service": service, "reason": reason,
 		"waiting": s.Waiting, "running": s.Running, "limit": s.Limit, "work_ms": s.Work.Milliseconds(),
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,9 +20,9 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/junctionfold/junctionfold/coord/backoff"
 	"github.com/junctionfold/junctionfold/coord/balance"
 	"github.com/junctionfold/junctionfold/coord/quarantine"
-	"github.com/junctionfold/junctionfold/coord/rest"
 	"github.com/junctionfold/junctionfold/coord/retry"
 	"github.com/junctionfold/junctionfold/internal/events"
 	"github.com/junctionfold/junctionfold/internal/feed"
@@ -81,12 +81,12 @@
 	mu       sync.Mutex
 	budgets  map[string]*retry.Budget
 	balancer *balance.Balancer
-	rests    *rest.Table
+	rests    *backoff.Table
 }
 
 // New returns a Gateway.
 func New(cfg Config) *Gateway {
-	return &Gateway{cfg: cfg, began: cfg.Now(), ages: newAges(), budgets: map[string]*retry.Budget{}, balancer: balance.New(), rests: rest.New()}
+	return &Gateway{cfg: cfg, began: cfg.Now(), ages: newAges(), budgets: map[string]*retry.Budget{}, balancer: balance.New(), rests: backoff.New()}
 }
 
 // Open returns how many requests are open.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,10 +28,10 @@
 	"github.com/junctionfold/junctionfold/internal/metrics"
 	"github.com/junctionfold/junctionfold/internal/owner"
 	"github.com/junctionfold/junctionfold/internal/peer"
+	"github.com/junctionfold/junctionfold/internal/permits"
 	"github.com/junctionfold/junctionfold/internal/platform"
 	"github.com/junctionfold/junctionfold/internal/records"
 	"github.com/junctionfold/junctionfold/internal/router"
-	"github.com/junctionfold/junctionfold/internal/turns"
 	"github.com/junctionfold/junctionfold/schema"
 )
 
@@ -48,7 +48,7 @@
 	mesh    *peer.Mesh
 	sync    *confsync.Sync
 	records *records.Store
-	turns   *turns.Turns
+	turns   *permits.Turns
 	owner   *owner.Owner
 	router  *router.Router
 	limits  *limits.Limiter
@@ -125,8 +125,8 @@
 		Self: self, Incarnation: n.incarnation, Peers: n.mesh, Lists: n.sync, Now: n.now,
 		Limits: outcome.Config{Retention: firstRetention, MaxBytes: firstBytes},
 	})
-	n.turns = &turns.Turns{
-		Self: self, Local: turns.NewGiver(firstLoadRate, n.now), Share: turns.NewGiver(firstLoadRate, n.now),
+	n.turns = &permits.Turns{
+		Self: self, Local: permits.NewGiver(firstLoadRate, n.now), Share: permits.NewGiver(firstLoadRate, n.now),
 		Peers: n.mesh, Giver: n.giver,
 	}
 	n.owner = n.newOwner(self, transport)
@@ -288,7 +288,7 @@
 	}
 	members := n.view.members()
 	chooser := ownership.NewChooser(members)
-	giver := chooser.Singleton(turns.Duty)
+	giver := chooser.Singleton(permits.Duty)
 	n.turnGiver.Store(&giver)
 	n.limits.SetVMs(countLive(members))
 	n.turns.Share.SetRate(c.Limits.GetLoadsPerSecond() / float64(max(countLive(members), 1)))
--- a/internal/turns/turns.go
+++ b/internal/permits/turns.go
@@ -4,7 +4,7 @@
 // costs time only: the loads slow each other.
 //
 // Lock order: Giver.mu is taken alone.
-package turns
+package permits
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/junctionfold/junctionfold/coord"
-	"github.com/junctionfold/junctionfold/coord/loadturn"
+	"github.com/junctionfold/junctionfold/coord/loadpermit"
 	"github.com/junctionfold/junctionfold/schema"
 )
 
@@ -37,7 +37,7 @@
 	now func() time.Time
 
 	mu     sync.Mutex
-	give   *loadturn.Giver
+	give   *loadpermit.Giver
 	next   uint64
 	wakers map[uint64]chan struct{}
 	// asks is the waiting ask of each target.
@@ -50,7 +50,7 @@
 func NewGiver(perSecond float64, now func() time.Time) *Giver {
 	return &Giver{
 		now: now, wakers: map[uint64]chan struct{}{}, asks: map[coord.TargetID]uint64{},
-		give: loadturn.New(loadturn.Config{PerSecond: perSecond, Concurrent: 1, Hold: holdTimeout}),
+		give: loadpermit.New(loadpermit.Config{PerSecond: perSecond, Concurrent: 1, Hold: holdTimeout}),
 	}
 }
 
@@ -69,7 +69,7 @@
 	g.asks[target] = id
 	waker := make(chan struct{})
 	g.wakers[id] = waker
-	g.wake(g.give.Ask(g.now(), loadturn.Ask{ID: id, Value: value}))
+	g.wake(g.give.Ask(g.now(), loadpermit.Ask{ID: id, Value: value}))
 	g.mu.Unlock()
 	defer g.forget(target, id)
 	select {
--- a/internal/turns/turns_test.go
+++ b/internal/permits/turns_test.go
@@ -1,4 +1,4 @@
-package turns
+package permits
 
 import (
 	"context"
