--- a/coord/attempt/attempt.go
+++ b/coord/attempt/attempt.go
@@ -69,8 +69,8 @@
 // Finished records the explicit end of the answer.
 func (a *Attempt) Finished() { a.advance(Started, Finished) }
 
-// Broken records that the connection to the target failed or was given up.
-func (a *Attempt) Broken() {
+// ConnectionLost records that the connection to the target failed or was given up.
+func (a *Attempt) ConnectionLost() {
 	if a.state == MaybeSent || a.state == Started {
 		a.state = Lost
 	}
--- a/coord/attempt/attempt_test.go
+++ b/coord/attempt/attempt_test.go
@@ -15,7 +15,7 @@
 	refused   step = (*attempt.Attempt).Refused
 	started   step = (*attempt.Attempt).Started
 	finished  step = (*attempt.Attempt).Finished
-	broken    step = (*attempt.Attempt).Broken
+	broken    step = (*attempt.Attempt).ConnectionLost
 )
 
 // TestLife gives each life of an attempt and what may be said and done after it.
--- a/coord/attempt/example_test.go
+++ b/coord/attempt/example_test.go
@@ -8,8 +8,8 @@
 
 func ExampleAttempt() {
 	var a attempt.Attempt
-	a.MaybeSent() // before the first byte can leave
-	a.Broken()    // the connection failed
+	a.MaybeSent()      // before the first byte can leave
+	a.ConnectionLost() // the connection failed
 	fmt.Println(a.Outcome(), a.MayRetry(false), a.MayRetry(true))
 	// Output: unknown false true
 }
--- a/coord/backoff/rest.go
+++ b/coord/backoff/rest.go
@@ -25,9 +25,9 @@
 // New returns an empty Table.
 func New() *Table { return &Table{until: map[string]time.Time{}} }
 
-// Ask takes that a target asked for rest. chance is between 0 and 1 and says where in the span this
+// Record takes that a target asked for rest. chance is between 0 and 1 and says where in the span this
 // VM returns.
-func (t *Table) Ask(now time.Time, target string, rest time.Duration, chance float64) {
+func (t *Table) Record(now time.Time, target string, rest time.Duration, chance float64) {
 	span := min(returnShare*float64(rest), float64(returnMost))
 	until := now.Add(rest + time.Duration(chance*span))
 	if until.After(t.until[target]) {
@@ -35,22 +35,22 @@
 	}
 }
 
-// Left is for how long a target rests; 0: it does not.
-func (t *Table) Left(now time.Time, target string) time.Duration {
+// Remaining is for how long a target rests; 0: it does not.
+func (t *Table) Remaining(now time.Time, target string) time.Duration {
 	return max(t.until[target].Sub(now), 0)
 }
 
-// Resting lists the targets that rest.
-func (t *Table) Resting(now time.Time) []string {
+// ActiveTargets lists the targets that rest.
+func (t *Table) ActiveTargets(now time.Time) []string {
 	t.forget(now)
 	return slices.Sorted(maps.Keys(t.until))
 }
 
-// FirstWake is how long it takes until the first of some targets wakes; 0 if one of them does not
+// FirstExpiry is how long it takes until the first of some targets wakes; 0 if one of them does not
 // rest, or there is none.
-func (t *Table) FirstWake(now time.Time, targets []string) (wait time.Duration) {
+func (t *Table) FirstExpiry(now time.Time, targets []string) (wait time.Duration) {
 	for i, id := range targets {
-		if left := t.Left(now, id); i == 0 || left < wait {
+		if left := t.Remaining(now, id); i == 0 || left < wait {
 			wait = left
 		}
 	}
--- a/coord/balance/balance.go
+++ b/coord/balance/balance.go
@@ -16,8 +16,8 @@
 // Target is a target that may be picked.
 type Target struct {
 	ID string
-	// Near targets are in this VM's availability zone.
-	Near bool
+	// SameZone targets are in this VM's availability zone.
+	SameZone bool
 }
 
 // Ending is how a request ended.
@@ -31,14 +31,14 @@
 	Busy
 	// Failed: the target failed the request.
 	Failed
-	// Hung: no answer in the time that the request had.
-	Hung
+	// TimedOut: no answer in the time that the request had.
+	TimedOut
 	// Unreachable: no connection.
 	Unreachable
 	// Abandoned: the caller left, or nothing was sent; nothing is learnt.
 	Abandoned
-	// Broke: failed, and the connection broke off.
-	Broke
+	// Disconnected: failed, and the connection broke off.
+	Disconnected
 )
 
 const (
@@ -124,7 +124,7 @@
 		r = &record{latency: firstLatency}
 	}
 	score = float64(r.latency) * float64(r.running+1) * (1 + failureCost*r.failures)
-	if !t.Near {
+	if !t.SameZone {
 		score *= farCost
 	}
 	return score, b.Ejected(now, t.ID)
@@ -145,11 +145,11 @@
 	case OK:
 		r.strikes = 0
 		r.learn(0, took)
-	case Failed, Broke:
+	case Failed, Disconnected:
 		r.learn(1, r.latency)
 	case Busy:
 		r.until = now.Add(busyPause)
-	case Hung:
+	case TimedOut:
 		r.learn(1, max(took, r.latency))
 		r.strike(now, 1)
 	case Unreachable:
@@ -159,8 +159,8 @@
 	}
 }
 
-// Seen takes the end of a request that another VM's balancer counted.
-func (b *Balancer) Seen(now time.Time, id string, how Ending, took time.Duration) {
+// ObserveRemote takes the end of a request that another VM's balancer counted.
+func (b *Balancer) ObserveRemote(now time.Time, id string, how Ending, took time.Duration) {
 	b.record(id).running++
 	b.Done(now, id, how, took)
 }
@@ -179,8 +179,8 @@
 	r.until = now.Add(min(firstEjection<<doublings, maxEjection))
 }
 
-// Tidy forgets targets that have not been used for long.
-func (b *Balancer) Tidy(now time.Time) {
+// ExpireIdle forgets targets that have not been used for long.
+func (b *Balancer) ExpireIdle(now time.Time) {
 	for id, r := range b.records {
 		if r.running == 0 && now.Sub(r.last) > forgetAfter {
 			delete(b.records, id)
--- a/coord/balance/balance_test.go
+++ b/coord/balance/balance_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func three() []Target { return []Target{{ID: "a", Near: true}, {ID: "b"}, {ID: "c"}} }
+func three() []Target { return []Target{{ID: "a", SameZone: true}, {ID: "b"}, {ID: "c"}} }
 
 func TestPicksTheNearOneFirst(t *testing.T) {
 	assert.Equal(t, New().Pick(start, three(), nil), "a")
@@ -45,7 +45,7 @@
 		{"one busy answer", Busy, 1, time.Millisecond, 0, false},
 		{"a busy answer some time ago", Busy, 1, time.Millisecond, 2 * busyPause, true},
 		{"no connection", Unreachable, 1, 0, 0, false},
-		{"hangs twice", Hung, 2, 100 * time.Millisecond, 0, false},
+		{"hangs twice", TimedOut, 2, 100 * time.Millisecond, 0, false},
 		{"callers that left", Abandoned, 20, 0, 0, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -84,6 +84,6 @@
 	b := New()
 	b.Pick(start, three(), nil)
 	b.Done(start, "a", OK, time.Millisecond)
-	b.Tidy(start.Add(2 * forgetAfter))
+	b.ExpireIdle(start.Add(2 * forgetAfter))
 	assert.Equal(t, len(b.records), 0)
 }
--- a/coord/confver/confver.go
+++ b/coord/confver/confver.go
@@ -7,17 +7,17 @@
 // The caller must verify a bundle's signatures before it calls Accept.
 package confver
 
-// Gate holds the version in force. The zero value has none.
-type Gate struct {
+// Tracker holds the version in force. The zero value has none.
+type Tracker struct {
 	inForce uint64
 }
 
 // InForce returns the version in force; zero when there is none.
-func (g *Gate) InForce() uint64 { return g.inForce }
+func (g *Tracker) InForce() uint64 { return g.inForce }
 
 // Accept puts a verified version in force. It returns false for a version that
 // is not higher than the one in force.
-func (g *Gate) Accept(version uint64) bool {
+func (g *Tracker) Accept(version uint64) bool {
 	if version <= g.inForce {
 		return false
 	}
@@ -27,4 +27,4 @@
 
 // Behind reports whether another side's version is higher than the one in force,
 // so that this side must catch up before it decides.
-func (g *Gate) Behind(version uint64) bool { return version > g.inForce }
+func (g *Tracker) Behind(version uint64) bool { return version > g.inForce }
--- a/coord/confver/confver_test.go
+++ b/coord/confver/confver_test.go
@@ -9,8 +9,8 @@
 	"github.com/junctionfold/junctionfold/coord/confver"
 )
 
-func ExampleGate() {
-	var g confver.Gate
+func ExampleTracker() {
+	var g confver.Tracker
 	fmt.Println(g.Accept(4), g.Accept(3), g.Behind(5))
 	// Output: true false true
 }
@@ -28,7 +28,7 @@
 		{"none", nil, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			var g confver.Gate
+			var g confver.Tracker
 			for _, v := range row.accept {
 				g.Accept(v)
 			}
--- a/coord/dispatch/dispatch.go
+++ b/coord/dispatch/dispatch.go
@@ -80,8 +80,8 @@
 // Queued returns how many requests wait.
 func (d *Dispatcher) Queued() int { return d.queued }
 
-// SameAdapter returns how many requests of a run or wait.
-func (d *Dispatcher) SameAdapter(a coord.Adapter) int {
+// AdapterRequests returns how many requests of a run or wait.
+func (d *Dispatcher) AdapterRequests(a coord.Adapter) int {
 	n := 0
 	if s := d.slots.Find(a); s != nil {
 		n = s.Pins
@@ -96,7 +96,7 @@
 func (d *Dispatcher) Submit(now time.Time, r Request) []Action {
 	r.arrived = now
 	if !r.Adapter.IsBase() {
-		d.slots.Asked(now, r.Adapter)
+		d.slots.RecordRequest(now, r.Adapter)
 	}
 	if d.stopped {
 		return d.refuseNow(r.Handle, CauseStopped, 0)
@@ -105,7 +105,7 @@
 		return d.refuseNow(r.Handle, CauseQueueFull, d.queueTime())
 	}
 	if !d.ready(r.Adapter) && d.slots.Blocked() {
-		return d.refuseNow(r.Handle, CauseHeld, heldRetry)
+		return d.refuseNow(r.Handle, CauseSlotsHeld, heldRetry)
 	}
 	wait, load := d.expectedWait(r), d.loadWait(now, r)
 	if now.Add(max(wait, load)).After(r.Deadline) {
@@ -141,10 +141,10 @@
 	return d.ended(now, handle, d.slots.Unpin)
 }
 
-// BrokenOff takes the end of a running request whose connection was closed before the
+// RequestAborted takes the end of a running request whose connection was closed before the
 // target had answered: the target may go on with it for a while.
-func (d *Dispatcher) BrokenOff(now time.Time, handle uint64) []Action {
-	return d.ended(now, handle, func(a coord.Adapter) { d.slots.UnpinBrokenOff(now, a) })
+func (d *Dispatcher) RequestAborted(now time.Time, handle uint64) []Action {
+	return d.ended(now, handle, func(a coord.Adapter) { d.slots.UnpinAborted(now, a) })
 }
 
 func (d *Dispatcher) ended(now time.Time, handle uint64, unpin func(coord.Adapter)) []Action {
@@ -154,7 +154,7 @@
 	}
 	delete(d.running, handle)
 	unpin(r.adapter)
-	d.service = Blend(d.service, now.Sub(r.since))
+	d.service = UpdateEWMA(d.service, now.Sub(r.since))
 	return d.settle(now)
 }
 
--- a/coord/dispatch/dispatch_test.go
+++ b/coord/dispatch/dispatch_test.go
@@ -35,7 +35,7 @@
 // load brings an adapter into the target and returns what starts.
 func load(t *testing.T, d *dispatch.Dispatcher, now time.Time, adapter coord.Adapter) []dispatch.Action {
 	t.Helper()
-	acts := d.TurnGranted(now)
+	acts := d.PermitGranted(now)
 	if acts[0].Kind == dispatch.ActUnload {
 		acts = d.Unloaded(now, acts[0].Name, true)
 	}
@@ -58,10 +58,10 @@
 func TestOneLoadServesAllWaiters(t *testing.T) {
 	d := newDispatcher(nil)
 	acts := d.Submit(start, request(1, a, 0))
-	assert.Equal(t, acts[0].Kind, dispatch.ActAskTurn)
+	assert.Equal(t, acts[0].Kind, dispatch.ActRequestPermit)
 	second := d.Submit(start, request(2, a, 0)) // the load is worth more now
 	assert.Equal(t, len(second), 1)
-	assert.Equal(t, second[0].Kind, dispatch.ActRaiseTurn)
+	assert.Equal(t, second[0].Kind, dispatch.ActRaisePermit)
 	assert.DeepEqual(t, handles(load(t, d, start, a), dispatch.ActStart), []uint64{1, 2})
 }
 
@@ -90,10 +90,10 @@
 		{"the load fails for the last time", func(_ *testing.T, d *dispatch.Dispatcher) []dispatch.Action {
 			d.Submit(start, request(9, a, 0))
 			for range 2 {
-				d.TurnGranted(start)
+				d.PermitGranted(start)
 				d.LoadFailed(start, a)
 			}
-			d.TurnGranted(start)
+			d.PermitGranted(start)
 			return d.LoadFailed(start, a)
 		}, dispatch.CauseLoadFailed},
 		{"the owner stops", func(_ *testing.T, d *dispatch.Dispatcher) []dispatch.Action {
@@ -107,13 +107,13 @@
 		{"every slot is held", func(_ *testing.T, d *dispatch.Dispatcher) []dispatch.Action {
 			d.Inherit(start, []string{"b@1"}, func(string) (coord.Adapter, bool) { return b, true }, true)
 			return d.Submit(start, request(9, a, 0))
-		}, dispatch.CauseHeld},
+		}, dispatch.CauseSlotsHeld},
 		{"slots become held while it waits", func(_ *testing.T, d *dispatch.Dispatcher) []dispatch.Action {
 			d.Inherit(start, []string{"b@1"}, func(string) (coord.Adapter, bool) { return b, true }, true)
 			d.SetHolds(start, false, nil)
 			d.Submit(start, request(9, a, 0))
 			return d.SetHolds(start, true, nil)
-		}, dispatch.CauseHeld},
+		}, dispatch.CauseSlotsHeld},
 		{"too many loads are ahead", func(_ *testing.T, d *dispatch.Dispatcher) []dispatch.Action {
 			d.Submit(start, request(1, a, 0))
 			d.Submit(start, request(2, b, 0))
@@ -163,7 +163,7 @@
 		free time.Duration
 	}{
 		{"whole", (*dispatch.Dispatcher).Finished, 0},
-		{"broken off", (*dispatch.Dispatcher).BrokenOff, coord.BrokenOffTime},
+		{"broken off", (*dispatch.Dispatcher).RequestAborted, coord.AbortedRequestTime},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			d := newDispatcher(nil)
@@ -176,10 +176,10 @@
 			if row.free > 0 {
 				late := now.Add(row.free - 1)
 				d.Tick(late)
-				assert.Equal(t, d.TurnGranted(late)[0].Kind, dispatch.ActGiveTurn)
+				assert.Equal(t, d.PermitGranted(late)[0].Kind, dispatch.ActReturnPermit)
 			}
 			d.Tick(now.Add(row.free))
-			assert.Equal(t, d.TurnGranted(now.Add(row.free))[0].Kind, dispatch.ActUnload)
+			assert.Equal(t, d.PermitGranted(now.Add(row.free))[0].Kind, dispatch.ActUnload)
 		})
 	}
 }
@@ -226,7 +226,7 @@
 	case 2:
 		if m.asked {
 			m.asked = false
-			m.take(t, m.d.TurnGranted(m.now))
+			m.take(t, m.d.PermitGranted(m.now))
 		}
 	case 3:
 		if len(m.loading) > 0 {
@@ -266,7 +266,7 @@
 			m.running[x.Handle] = x.Adapter
 		case dispatch.ActRefuse:
 			m.end(t, x.Handle, "refused")
-		case dispatch.ActAskTurn:
+		case dispatch.ActRequestPermit:
 			if m.asked || len(m.loading) > 0 {
 				t.Fatal("a second load at once")
 			}
--- a/coord/dispatch/example_test.go
+++ b/coord/dispatch/example_test.go
@@ -17,7 +17,7 @@
 	show := func(acts []dispatch.Action) {
 		for _, a := range acts {
 			switch a.Kind {
-			case dispatch.ActAskTurn:
+			case dispatch.ActRequestPermit:
 				fmt.Println("ask for a load turn")
 			case dispatch.ActLoad:
 				fmt.Println("load", a.Name)
@@ -27,7 +27,7 @@
 		}
 	}
 	show(d.Submit(now, dispatch.Request{Handle: 1, Adapter: notes, Deadline: now.Add(time.Minute)}))
-	show(d.TurnGranted(now))
+	show(d.PermitGranted(now))
 	show(d.Loaded(now, notes))
 	// Output:
 	// ask for a load turn
--- a/coord/dispatch/load.go
+++ b/coord/dispatch/load.go
@@ -23,7 +23,7 @@
 	d.askedAt = now
 	d.askWorth = worth
 	d.next = a
-	d.act(Action{Kind: ActAskTurn, Adapter: a, Value: worth})
+	d.act(Action{Kind: ActRequestPermit, Adapter: a, Priority: worth})
 }
 
 // raiseFactor is how much the worth of a waiting ask must have grown before the
@@ -37,7 +37,7 @@
 		return
 	}
 	d.askWorth = worth
-	d.act(Action{Kind: ActRaiseTurn, Value: worth})
+	d.act(Action{Kind: ActRaisePermit, Priority: worth})
 }
 
 // worthiest returns the waiting adapter whose load is worth most.
@@ -46,7 +46,7 @@
 		if d.ready(a) || d.slots.Find(a) != nil {
 			continue
 		}
-		w := q.worth(now, d.cfg.AgeStep)
+		w := q.worth(now, d.cfg.AgingInterval)
 		if !ok || w > worth || (w == worth && a.String() < best.String()) {
 			best, worth, ok = a, w, true
 		}
@@ -67,16 +67,16 @@
 	return d.slots.Victim(now, func(a coord.Adapter) bool { return d.waiting[a] != nil })
 }
 
-// TurnGranted starts the load that is worth most now; a more urgent request may
+// PermitGranted starts the load that is worth most now; a more urgent request may
 // have come since the turn was asked for. When none is needed any more, the turn
 // goes back.
-func (d *Dispatcher) TurnGranted(now time.Time) []Action {
+func (d *Dispatcher) PermitGranted(now time.Time) []Action {
 	d.acts = nil
 	if d.phase != asked {
-		d.act(Action{Kind: ActGiveTurn})
+		d.act(Action{Kind: ActReturnPermit})
 		return d.acts
 	}
-	d.turnWait = Blend(d.turnWait, now.Sub(d.askedAt))
+	d.turnWait = UpdateEWMA(d.turnWait, now.Sub(d.askedAt))
 	best, _, ok := d.worthiest(now)
 	if !ok {
 		return d.giveTurnBack(now)
@@ -97,7 +97,7 @@
 
 func (d *Dispatcher) giveTurnBack(now time.Time) []Action {
 	d.phase = idle
-	acts := []Action{{Kind: ActGiveTurn}}
+	acts := []Action{{Kind: ActReturnPermit}}
 	return append(acts, d.settle(now)...)
 }
 
@@ -109,8 +109,8 @@
 	d.act(Action{Kind: ActLoad, Adapter: d.next, Name: name})
 }
 
-// TurnDenied puts the load off until retry has passed.
-func (d *Dispatcher) TurnDenied(now time.Time, retry time.Duration) []Action {
+// PermitDenied puts the load off until retry has passed.
+func (d *Dispatcher) PermitDenied(now time.Time, retry time.Duration) []Action {
 	if d.phase == asked {
 		d.phase = idle
 		d.retryAt = now.Add(retry)
@@ -148,7 +148,7 @@
 	d.slots.Drop(d.nameOf(a))
 	d.fails[a]++
 	var refused []Action
-	if d.fails[a] >= d.cfg.LoadTries {
+	if d.fails[a] >= d.cfg.MaxLoadAttempts {
 		refused = d.refuseAll(a, CauseLoadFailed, d.loadAvg)
 		delete(d.fails, a)
 	}
@@ -174,7 +174,7 @@
 		return d.settle(now)
 	}
 	d.phase = idle
-	d.loadAvg = Blend(d.loadAvg, now.Sub(d.loadSince))
-	acts := []Action{{Kind: ActGiveTurn}}
+	d.loadAvg = UpdateEWMA(d.loadAvg, now.Sub(d.loadSince))
+	acts := []Action{{Kind: ActReturnPermit}}
 	return append(acts, d.settle(now)...)
 }
--- a/coord/dispatch/settle.go
+++ b/coord/dispatch/settle.go
@@ -45,7 +45,7 @@
 	}
 	for a := range d.waiting {
 		if !d.ready(a) {
-			d.acts = append(d.acts, d.refuseAll(a, CauseHeld, heldRetry)...)
+			d.acts = append(d.acts, d.refuseAll(a, CauseSlotsHeld, heldRetry)...)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 func (d *Dispatcher) startNext(now time.Time) bool {
 	var best *queue
 	for a, q := range d.waiting {
-		if d.ready(a) && (best == nil || q.moreUrgent(best, now, d.cfg.AgeStep)) {
+		if d.ready(a) && (best == nil || q.moreUrgent(best, now, d.cfg.AgingInterval)) {
 			best = q
 		}
 	}
--- a/coord/dispatch/types.go
+++ b/coord/dispatch/types.go
@@ -16,9 +16,9 @@
 	CauseDeadline
 	CauseLoadFailed
 	CauseStopped
-	// CauseHeld means that the adapter is not resident and every slot is held
+	// CauseSlotsHeld means that the adapter is not resident and every slot is held
 	// for an earlier owner.
-	CauseHeld
+	CauseSlotsHeld
 	// CauseLoadWait means that too many loads are ahead.
 	CauseLoadWait
 )
@@ -34,7 +34,7 @@
 		return "adapter_load_failed"
 	case CauseStopped:
 		return "owner_stopped"
-	case CauseHeld:
+	case CauseSlotsHeld:
 		return "slots_held"
 	case CauseLoadWait:
 		return "loads_overdue"
@@ -65,12 +65,12 @@
 	ActStart ActionKind = iota + 1
 	// ActRefuse answers the request Handle: not run, for Cause.
 	ActRefuse
-	// ActAskTurn asks for a turn at the weight store, worth Value.
-	ActAskTurn
-	// ActRaiseTurn raises the worth of the turn that was asked for to Value.
-	ActRaiseTurn
-	// ActGiveTurn gives a turn back.
-	ActGiveTurn
+	// ActRequestPermit asks for a turn at the weight store, worth Value.
+	ActRequestPermit
+	// ActRaisePermit raises the worth of the turn that was asked for to Value.
+	ActRaisePermit
+	// ActReturnPermit gives a turn back.
+	ActReturnPermit
 	// ActLoad orders the target to load Adapter under Name.
 	ActLoad
 	// ActUnload orders the target to unload Name.
@@ -85,7 +85,7 @@
 	RetryAfter time.Duration
 	Adapter    coord.Adapter
 	Name       string
-	Value      float64
+	Priority   float64
 }
 
 // Config holds the settings of a Dispatcher.
@@ -103,11 +103,11 @@
 	// MaxLoadWait is the longest expected wait for a load with which a request
 	// is let in. Beyond it, waiting would only lengthen the queue of loads.
 	MaxLoadWait time.Duration
-	// AgeStep is the wait that raises a request by one rank.
-	AgeStep time.Duration
-	// LoadTries is how many loads of an adapter may fail before its waiters
+	// AgingInterval is the wait that raises a request by one rank.
+	AgingInterval time.Duration
+	// MaxLoadAttempts is how many loads of an adapter may fail before its waiters
 	// are refused.
-	LoadTries int
+	MaxLoadAttempts int
 	// NameSuffix is added to an adapter's name at the engine, to tell this
 	// owner's loads from an earlier owner's.
 	NameSuffix string
@@ -118,12 +118,12 @@
 // chosen is told in docs/design/load-decisions.md.
 func DefaultConfig() Config {
 	return Config{
-		Residency:   residency.Config{MinResident: 500 * time.Millisecond, HeatHalfLife: 2 * time.Minute},
-		QueueLimit:  128,
-		LoadTime:    time.Second,
-		ServiceTime: 500 * time.Millisecond,
-		MaxLoadWait: 5 * time.Second,
-		AgeStep:     2 * time.Second,
-		LoadTries:   3,
+		Residency:       residency.Config{MinResident: 500 * time.Millisecond, HeatHalfLife: 2 * time.Minute},
+		QueueLimit:      128,
+		LoadTime:        time.Second,
+		ServiceTime:     500 * time.Millisecond,
+		MaxLoadWait:     5 * time.Second,
+		AgingInterval:   2 * time.Second,
+		MaxLoadAttempts: 3,
 	}
 }
--- a/coord/dispatch/waits.go
+++ b/coord/dispatch/waits.go
@@ -40,7 +40,7 @@
 	}
 	loads := 1
 	for other, q := range d.waiting {
-		if !d.ready(other) && q.worth(now, d.cfg.AgeStep) >= firstWorth(r.Rank) {
+		if !d.ready(other) && q.worth(now, d.cfg.AgingInterval) >= firstWorth(r.Rank) {
 			loads++
 		}
 	}
@@ -50,7 +50,7 @@
 // blendShare is the weight of a new sample in a running mean, as one in N.
 const blendShare = 8
 
-// Blend moves a running mean towards a sample by that share.
-func Blend(mean, sample time.Duration) time.Duration {
+// UpdateEWMA moves a running mean towards a sample by that share.
+func UpdateEWMA(mean, sample time.Duration) time.Duration {
 	return mean + (sample-mean)/blendShare
 }
--- a/coord/doc.go
+++ b/coord/doc.go
@@ -54,9 +54,9 @@
 	"time"
 )
 
-// BrokenOffTime is how long an engine may go on with a request after its connection
+// AbortedRequestTime is how long an engine may go on with a request after its connection
 // was closed, by the users' rules. Its adapter is in use until then.
-const BrokenOffTime = 500 * time.Millisecond
+const AbortedRequestTime = 500 * time.Millisecond
 
 // VMID names a VM, as the published list does.
 type VMID string
--- a/coord/enginecost/engine.go
+++ b/coord/enginecost/engine.go
@@ -28,8 +28,8 @@
 	overdueShare = 0.5
 )
 
-// Prompt is a request that an engine was sent and that has had no first event.
-type Prompt struct {
+// PendingPrompt is a request that an engine was sent and that has had no first event.
+type PendingPrompt struct {
 	tokens   float64 // to read
 	left     float64 // of these, as far as is believed
 	priority int
@@ -44,7 +44,7 @@
 // Engine is what is believed of one engine.
 type Engine struct {
 	// queue has the prompts in the order in which the engine reads them.
-	queue []*Prompt
+	queue []*PendingPrompt
 	// at is until when queue was brought forward.
 	at time.Time
 	// own is the logarithm of the engine's own time per token in ms, weight how many
@@ -56,10 +56,10 @@
 
 // Begin takes a request that is sent to the engine now. tokens is what of its prompt
 // the engine has to read.
-func (e *Engine) Begin(now time.Time, s *Speed, tokens, priority int) *Prompt {
-	due := now.Add(e.FirstEvent(now, s, tokens, priority))
+func (e *Engine) Begin(now time.Time, s *Speed, tokens, priority int) *PendingPrompt {
+	due := now.Add(e.TimeToFirstEvent(now, s, tokens, priority))
 	n := float64(max(tokens, 1))
-	p := &Prompt{tokens: n, left: n, priority: priority, sent: now, due: due}
+	p := &PendingPrompt{tokens: n, left: n, priority: priority, sent: now, due: due}
 	place := e.place(priority)
 	if place == 0 {
 		p.began = now
@@ -79,8 +79,8 @@
 	return len(e.queue)
 }
 
-// First takes the first event of a request.
-func (e *Engine) First(now time.Time, s *Speed, p *Prompt) {
+// ObserveFirstEvent takes the first event of a request.
+func (e *Engine) ObserveFirstEvent(now time.Time, s *Speed, p *PendingPrompt) {
 	e.forward(now, s)
 	if !p.began.IsZero() {
 		took := ms(now.Sub(p.began))
@@ -91,14 +91,14 @@
 }
 
 // Drop takes the end of a request that has had no first event.
-func (e *Engine) Drop(now time.Time, s *Speed, p *Prompt) {
+func (e *Engine) Drop(now time.Time, s *Speed, p *PendingPrompt) {
 	e.forward(now, s)
 	e.remove(p, time.Time{})
 }
 
 // remove takes a prompt out. The next one was begun at the time given, if the engine
 // was reading this one.
-func (e *Engine) remove(p *Prompt, began time.Time) {
+func (e *Engine) remove(p *PendingPrompt, began time.Time) {
 	i := slices.Index(e.queue, p)
 	if i < 0 {
 		return
@@ -154,9 +154,9 @@
 	}
 }
 
-// FirstEvent is the expected time to the first event of a request that would be sent
+// TimeToFirstEvent is the expected time to the first event of a request that would be sent
 // now.
-func (e *Engine) FirstEvent(now time.Time, s *Speed, tokens, priority int) time.Duration {
+func (e *Engine) TimeToFirstEvent(now time.Time, s *Speed, tokens, priority int) time.Duration {
 	e.forward(now, s)
 	ahead := float64(tokens)
 	for _, p := range e.queue[:e.place(priority)] {
--- a/coord/enginecost/enginecost_test.go
+++ b/coord/enginecost/enginecost_test.go
@@ -68,7 +68,7 @@
 	type event struct {
 		at     float64
 		engine int
-		prompt *Prompt
+		prompt *PendingPrompt
 		tokens int
 	}
 	var events []event
@@ -92,10 +92,10 @@
 		events = slices.Delete(events, next, next+1)
 		f.now = max(f.now, e.at)
 		if e.prompt != nil {
-			f.engines[e.engine].First(at(e.at), f.speed, e.prompt)
+			f.engines[e.engine].ObserveFirstEvent(at(e.at), f.speed, e.prompt)
 			continue
 		}
-		believed := ms(f.engines[e.engine].FirstEvent(at(e.at), f.speed, e.tokens, 0))
+		believed := ms(f.engines[e.engine].TimeToFirstEvent(at(e.at), f.speed, e.tokens, 0))
 		first := f.models[e.engine].firstEvent(e.at, e.tokens)
 		f.offBy[e.engine] = append(f.offBy[e.engine], math.Log((first-e.at)/believed))
 		e.prompt = f.engines[e.engine].Begin(at(e.at), f.speed, e.tokens, 0)
@@ -197,38 +197,38 @@
 		{"before what is less urgent, not before what is being read", 0, 100 + 50 + 20},
 		{"last", 2, 100 + 200 + 50 + 20},
 	} {
-		assert.Equal(t, e.FirstEvent(at(0), s, 500, row.priority).Round(time.Millisecond), duration(row.want), row.name)
+		assert.Equal(t, e.TimeToFirstEvent(at(0), s, 500, row.priority).Round(time.Millisecond), duration(row.want), row.name)
 	}
-	assert.Equal(t, e.FirstEvent(at(60), s, 500, 1).Round(time.Millisecond), duration(40+200+50+20), "some has been read")
+	assert.Equal(t, e.TimeToFirstEvent(at(60), s, 500, 1).Round(time.Millisecond), duration(40+200+50+20), "some has been read")
 }
 
 func TestFirstEventsCorrectTheQueue(t *testing.T) {
 	s, e := quiet(), &Engine{}
 	first := e.Begin(at(0), s, 1000, 1)
 	second := e.Begin(at(0), s, 1000, 1)
-	e.First(at(50), s, first) // twice as fast as believed
+	e.ObserveFirstEvent(at(50), s, first) // twice as fast as believed
 	assert.Equal(t, e.queued(), 1)
-	assert.Assert(t, e.FirstEvent(at(50), s, 10, 1) < duration(140))
+	assert.Assert(t, e.TimeToFirstEvent(at(50), s, 10, 1) < duration(140))
 	e.Drop(at(60), s, second)
 	e.Drop(at(60), s, second)
 	assert.Equal(t, e.queued(), 0, "a request ends once")
-	assert.Assert(t, e.FirstEvent(at(60), s, 10, 1) < duration(40))
+	assert.Assert(t, e.TimeToFirstEvent(at(60), s, 10, 1) < duration(40))
 }
 
 func TestOverdueFirstEventTellsOfAnEngineThatStands(t *testing.T) {
 	s, e := quiet(), &Engine{}
 	e.Begin(at(0), s, 1000, 1) // due after 120 ms
-	soon := e.FirstEvent(at(120), s, 100, 1)
-	late := e.FirstEvent(at(1120), s, 100, 1)
+	soon := e.TimeToFirstEvent(at(120), s, 100, 1)
+	late := e.TimeToFirstEvent(at(1120), s, 100, 1)
 	assert.Equal(t, (late - soon).Round(time.Millisecond), duration(500))
 }
 
 func TestRunTimeFollowsStreams(t *testing.T) {
 	s := NewSpeed()
 	for range 200 {
-		s.Ran(5 * time.Second)
+		s.ObserveStream(5 * time.Second)
 	}
-	assert.Assert(t, s.Run() > 4500*time.Millisecond && s.Run() < 5*time.Second)
+	assert.Assert(t, s.MeanStreamTime() > 4500*time.Millisecond && s.MeanStreamTime() < 5*time.Second)
 }
 
 func TestAskingDoesNotAllocate(t *testing.T) {
@@ -237,7 +237,7 @@
 		e.Begin(at(0), s, 1000, i%3)
 	}
 	now := at(10)
-	assert.Equal(t, testing.AllocsPerRun(100, func() { e.FirstEvent(now, s, 500, 1) }), 0.0)
+	assert.Equal(t, testing.AllocsPerRun(100, func() { e.TimeToFirstEvent(now, s, 500, 1) }), 0.0)
 }
 
 // BenchmarkFirstEvent is one question to one engine with ten prompts before it.
@@ -249,6 +249,6 @@
 	now := at(0)
 	for b.Loop() {
 		now = now.Add(time.Microsecond)
-		e.FirstEvent(now, s, 500, 1)
+		e.TimeToFirstEvent(now, s, 500, 1)
 	}
 }
--- a/coord/enginecost/speed.go
+++ b/coord/enginecost/speed.go
@@ -31,19 +31,19 @@
 	}
 }
 
-// Reading returns the time to read tokens at an ordinary engine.
-func (s *Speed) Reading(tokens int) time.Duration {
+// PrefillTime returns the time to read tokens at an ordinary engine.
+func (s *Speed) PrefillTime(tokens int) time.Duration {
 	return duration(float64(tokens) * s.perToken.value())
 }
 
 // Overhead returns the time to the first event besides waiting and reading.
 func (s *Speed) Overhead() time.Duration { return duration(s.overhead.value()) }
 
-// Run returns the mean time that a stream runs after its first event.
-func (s *Speed) Run() time.Duration { return duration(s.run) }
+// MeanStreamTime returns the mean time that a stream runs after its first event.
+func (s *Speed) MeanStreamTime() time.Duration { return duration(s.run) }
 
-// Ran takes the time from the first event of a stream to its end.
-func (s *Speed) Ran(took time.Duration) { s.run += runWeight * (ms(took) - s.run) }
+// ObserveStream takes the time from the first event of a stream to its end.
+func (s *Speed) ObserveStream(took time.Duration) { s.run += runWeight * (ms(took) - s.run) }
 
 // learn takes a first event that came took ms after the engine began to read so many
 // tokens. The larger part of the expected time is the one that is learnt; the overhead
--- a/coord/fleet_test.go
+++ b/coord/fleet_test.go
@@ -56,7 +56,7 @@
 	handle  uint64
 	adapter coord.Adapter
 	// brokenOff is when the VM closed the connection; zero: it has not. The engine
-	// notices within coord.BrokenOffTime.
+	// notices within coord.AbortedRequestTime.
 	brokenOff time.Time
 }
 
@@ -149,7 +149,7 @@
 }
 
 func (f *fleet) report() ownership.Report {
-	r := ownership.Report{Fence: f.engine.fence}
+	r := ownership.Report{FencingToken: f.engine.fence}
 	for n := range f.engine.resident {
 		r.Resident = append(r.Resident, n)
 	}
@@ -181,11 +181,11 @@
 	case ownership.ActRead:
 		f.send(i, "read", func() {
 			r := f.report()
-			f.reply(i, life, "report", func() { f.own(i, v.machine.Read(f.now, r)) })
+			f.reply(i, life, "report", func() { f.own(i, v.machine.HandleReport(f.now, r)) })
 		}, func() {})
 	case ownership.ActClaim:
-		f.send(i, "claim", func() { f.claim(i, life, a.Fence) }, func() {})
-	case ownership.ActAskRelease:
+		f.send(i, "claim", func() { f.claim(i, life, a.FencingToken) }, func() {})
+	case ownership.ActRequestRelease:
 		f.askRelease(i, a)
 	case ownership.ActServe:
 		f.serve(i, a)
@@ -202,11 +202,11 @@
 	v := f.vms[i]
 	if !f.passFence(fence) {
 		seen := f.engine.fence
-		f.reply(i, life, "claim refused", func() { f.own(i, v.machine.Refused(f.now, fence, seen)) })
+		f.reply(i, life, "claim refused", func() { f.own(i, v.machine.HandleRejection(f.now, fence, seen)) })
 		return
 	}
 	r := f.report()
-	f.reply(i, life, "claimed", func() { f.own(i, v.machine.Claimed(f.now, fence, r)) })
+	f.reply(i, life, "claimed", func() { f.own(i, v.machine.HandleClaimAccepted(f.now, fence, r)) })
 }
 
 func (f *fleet) askRelease(i int, a ownership.Action) {
@@ -219,7 +219,7 @@
 			if other.dead {
 				return
 			}
-			released, acts := other.machine.AskedToRelease(f.now, a.Fence)
+			released, acts := other.machine.HandleReleaseRequest(f.now, a.FencingToken)
 			f.own(j, acts)
 			if !released && f.broken != falseRelease {
 				return
@@ -228,7 +228,7 @@
 			if other.dispatch != nil && f.broken != falseRelease {
 				inUse = other.dispatch.Slots().InUse(f.now)
 			}
-			f.reply(i, life, "released", func() { f.own(i, v.machine.Released(a.VM, a.Fence, inUse)) })
+			f.reply(i, life, "released", func() { f.own(i, v.machine.HandleRelease(a.VM, a.FencingToken, inUse)) })
 		}, func() {})
 	}
 }
@@ -238,13 +238,13 @@
 	suffix := ""
 	usable := f.fencing || f.broken == sharedNames
 	if !usable {
-		suffix = fmt.Sprintf("~%d.%d", a.Fence, v.life)
+		suffix = fmt.Sprintf("~%d.%d", a.FencingToken, v.life)
 	}
 	v.tenure++
 	v.dispatch = dispatch.New(dispatch.Config{
 		Residency: residency.Config{Slots: slots, HeatHalfLife: time.Second},
 		Batch:     4, QueueLimit: 8, LoadTime: time.Millisecond, ServiceTime: time.Millisecond,
-		MaxLoadWait: time.Hour, AgeStep: time.Second, LoadTries: 3, NameSuffix: suffix,
+		MaxLoadWait: time.Hour, AgingInterval: time.Second, MaxLoadAttempts: 3, NameSuffix: suffix,
 	})
 	v.dispatch.Inherit(f.now, a.Resident, parseName, usable)
 }
@@ -277,8 +277,8 @@
 
 func (f *fleet) dispatchAction(i int, a dispatch.Action) {
 	switch a.Kind {
-	case dispatch.ActAskTurn:
-		granted := f.feed(i, func(d *dispatch.Dispatcher) []dispatch.Action { return d.TurnGranted(f.now) })
+	case dispatch.ActRequestPermit:
+		granted := f.feed(i, func(d *dispatch.Dispatcher) []dispatch.Action { return d.PermitGranted(f.now) })
 		f.send(i, "turn", granted, granted)
 	case dispatch.ActStart:
 		f.start(i, a)
@@ -290,12 +290,12 @@
 }
 
 func (f *fleet) load(i int, a dispatch.Action) {
-	v, life, fence := f.vms[i], f.vms[i].life, f.vms[i].machine.Fence()
+	v, life, fence := f.vms[i], f.vms[i].life, f.vms[i].machine.FencingToken()
 	ok := f.feed(i, func(d *dispatch.Dispatcher) []dispatch.Action { return d.Loaded(f.now, a.Adapter) })
 	failed := f.feed(i, func(d *dispatch.Dispatcher) []dispatch.Action { return d.LoadFailed(f.now, a.Adapter) })
 	f.send(i, "load "+a.Name, func() {
 		if !f.passFence(fence) {
-			f.reply(i, life, "load refused", func() { failed(); f.own(i, v.machine.Refused(f.now, fence, f.engine.fence)) })
+			f.reply(i, life, "load refused", func() { failed(); f.own(i, v.machine.HandleRejection(f.now, fence, f.engine.fence)) })
 			return
 		}
 		if f.engine.resident[a.Name] == (coord.Adapter{}) && len(f.engine.resident) >= slots {
@@ -308,12 +308,12 @@
 }
 
 func (f *fleet) unload(i int, a dispatch.Action) {
-	v, life, fence := f.vms[i], f.vms[i].life, f.vms[i].machine.Fence()
+	v, life, fence := f.vms[i], f.vms[i].life, f.vms[i].machine.FencingToken()
 	done := f.feed(i, func(d *dispatch.Dispatcher) []dispatch.Action { return d.Unloaded(f.now, a.Name, true) })
 	failed := f.feed(i, func(d *dispatch.Dispatcher) []dispatch.Action { return d.Unloaded(f.now, a.Name, false) })
 	f.send(i, "unload "+a.Name, func() {
 		if !f.passFence(fence) {
-			f.reply(i, life, "unload refused", func() { failed(); f.own(i, v.machine.Refused(f.now, fence, f.engine.fence)) })
+			f.reply(i, life, "unload refused", func() { failed(); f.own(i, v.machine.HandleRejection(f.now, fence, f.engine.fence)) })
 			return
 		}
 		for _, r := range f.engine.runs {
@@ -350,12 +350,12 @@
 		f.feed(i, func(d *dispatch.Dispatcher) []dispatch.Action { return d.Finished(f.now, a.Handle) })()
 		return
 	}
-	v.machine.Started()
+	v.machine.RequestStarted()
 	if f.broken == noPin {
 		v.dispatch.Slots().Unpin(a.Adapter)
 	}
 	finished := f.feed(i, func(d *dispatch.Dispatcher) []dispatch.Action { return d.Finished(f.now, a.Handle) })
-	end := func() { v.machine.Ended(f.now); finished() }
+	end := func() { v.machine.RequestEnded(f.now); finished() }
 	arrive := func() { f.arrive(i, life, a, adapter, end) }
 	f.send(i, fmt.Sprintf("run %d on %s", a.Handle, a.Name), arrive, func() {
 		if f.broken == retryMaybeSent && v.life == life {
@@ -393,7 +393,7 @@
 	}
 	v := f.vms[r.vm]
 	finished := f.feed(r.vm, func(d *dispatch.Dispatcher) []dispatch.Action { return d.Finished(f.now, r.handle) })
-	f.reply(r.vm, r.life, "answer", func() { v.machine.Ended(f.now); finished() })
+	f.reply(r.vm, r.life, "answer", func() { v.machine.RequestEnded(f.now); finished() })
 }
 
 // breakOff closes the connection of a running request, as when its caller leaves.
@@ -405,15 +405,15 @@
 		return
 	}
 	r.brokenOff = f.now
-	ended := (*dispatch.Dispatcher).BrokenOff
+	ended := (*dispatch.Dispatcher).RequestAborted
 	if f.broken == noGrace {
 		ended = (*dispatch.Dispatcher).Finished
 	}
 	handle := r.handle
 	if f.broken == noDrainGrace {
-		v.machine.Ended(f.now)
+		v.machine.RequestEnded(f.now)
 	} else {
-		v.machine.BrokenOff(f.now)
+		v.machine.RequestAborted(f.now)
 	}
 	f.feed(r.vm, func(d *dispatch.Dispatcher) []dispatch.Action { return ended(d, f.now, handle) })()
 }
@@ -421,7 +421,7 @@
 // noticeBrokenOff ends the runs whose closed connection the engine has noticed.
 func (f *fleet) noticeBrokenOff() {
 	f.engine.runs = slices.DeleteFunc(f.engine.runs, func(r run) bool {
-		return !r.brokenOff.IsZero() && f.now.Sub(r.brokenOff) >= coord.BrokenOffTime
+		return !r.brokenOff.IsZero() && f.now.Sub(r.brokenOff) >= coord.AbortedRequestTime
 	})
 }
 
--- a/coord/leadership/duty.go
+++ b/coord/leadership/duty.go
@@ -30,8 +30,8 @@
 // tieBits of a fencing number tell VMs apart that read the same revision.
 const tieBits = 16
 
-// NextFence returns a number above seen from a revision of the store.
-func NextFence(revision, seen uint64, self coord.VMID) uint64 {
+// NextFencingToken returns a number above seen from a revision of the store.
+func NextFencingToken(revision, seen uint64, self coord.VMID) uint64 {
 	high := max(revision, seen>>tieBits+1)
 	return high<<tieBits | rendezvous.Hash(string(self))&(1<<tieBits-1)
 }
@@ -45,10 +45,10 @@
 	Idle Phase = iota
 	// Waiting: this VM is to take the duty when the last claim is old enough.
 	Waiting
-	// Taking: this VM reads the revision for its number.
-	Taking
-	// Holding: this VM may give orders.
-	Holding
+	// Acquiring: this VM reads the revision for its number.
+	Acquiring
+	// Leading: this VM may give orders.
+	Leading
 )
 
 // String gives the phase's name for logs.
@@ -95,27 +95,27 @@
 // Phase returns how far this VM is.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Fence returns the number to order under; 0 when this VM may not order.
-func (m *Machine) Fence() uint64 {
-	if m.phase != Holding {
+// FencingToken returns the number to order under; 0 when this VM may not order.
+func (m *Machine) FencingToken() uint64 {
+	if m.phase != Leading {
 		return 0
 	}
 	return m.fence
 }
 
-// Acting returns the VM to ask for decisions: the one with the highest claim, or
+// Leader returns the VM to ask for decisions: the one with the highest claim, or
 // else the one that is to take the duty next. It is empty while this VM has just
 // started or is out of touch with most others.
-func (m *Machine) Acting() coord.VMID { return m.holder }
+func (m *Machine) Leader() coord.VMID { return m.holder }
 
 // Update takes the view of the fleet. It returns true when this VM is to read
 // the store's revision and call Take.
 func (m *Machine) Update(now time.Time, r *roster.Roster) (take bool) {
 	claimant := m.highestClaim(now, r)
 	switch {
-	case m.phase == Holding && (m.seen > m.fence || m.refused || r.Self().Leaving):
+	case m.phase == Leading && (m.seen > m.fence || m.refused || r.Self().Leaving):
 		m.release(now)
-	case m.phase == Holding:
+	case m.phase == Leading:
 		m.holder = m.self
 		if !r.HasMajority() {
 			m.release(now)
@@ -132,7 +132,7 @@
 		m.phase = Idle
 		return false
 	}
-	m.holder = m.successor(r.Strong())
+	m.holder = m.successor(r.LeaderCandidates())
 	if m.holder != m.self {
 		m.phase = Idle
 		return false
@@ -141,7 +141,7 @@
 		m.phase = Waiting
 	}
 	if m.phase == Waiting && now.Sub(m.claimed) >= m.lease {
-		m.phase = Taking
+		m.phase = Acquiring
 		return true
 	}
 	return false
@@ -151,16 +151,16 @@
 	var holder coord.VMID
 	var best uint64
 	for _, o := range r.Members() {
-		if o.Fence == 0 {
+		if o.FencingToken == 0 {
 			continue
 		}
-		m.seen = max(m.seen, o.Fence)
+		m.seen = max(m.seen, o.FencingToken)
 		if o.State == roster.Suspect {
 			continue
 		}
 		m.claimed = now
-		if o.Fence > best && o.State == roster.Live {
-			holder, best = o.ID, o.Fence
+		if o.FencingToken > best && o.State == roster.Live {
+			holder, best = o.ID, o.FencingToken
 		}
 	}
 	return holder
@@ -181,12 +181,12 @@
 	m.seen = max(m.seen, m.fence)
 }
 
-// Take takes the store's revision, read after Update asked for it. ok is false
+// Acquire takes the store's revision, read after Update asked for it. ok is false
 // when it could not be read; Update asks again. While the store is down and engines
 // check numbers, one above all that were heard of is enough: a fleet that goes on need
 // not wait for the store, and if a higher one was used unheard, engines refuse this one.
-func (m *Machine) Take(now time.Time, revision uint64, ok bool) {
-	if m.phase != Taking {
+func (m *Machine) Acquire(now time.Time, revision uint64, ok bool) {
+	if m.phase != Acquiring {
 		return
 	}
 	if !ok {
@@ -198,25 +198,25 @@
 		revision = 0
 	}
 	m.unread = 0
-	m.fence = NextFence(revision, m.seen, m.self)
+	m.fence = NextFencingToken(revision, m.seen, m.self)
 	m.seen = m.fence
-	m.phase = Holding
+	m.phase = Leading
 	m.holder = m.self
 	m.claimed = now
 }
 
-// Paused takes the news that this process stood still: another VM may hold the duty by
+// HandleSuspension takes the news that this process stood still: another VM may hold the duty by
 // now, and engines that it has not ordered yet would still obey this one.
-func (m *Machine) Paused(now time.Time) {
-	if m.phase == Holding || m.phase == Taking {
+func (m *Machine) HandleSuspension(now time.Time) {
+	if m.phase == Leading || m.phase == Acquiring {
 		m.release(now)
 	}
 }
 
-// Refused takes an engine's refusal of an order under fence: a higher number was
+// HandleRejection takes an engine's refusal of an order under fence: a higher number was
 // seen. The number is not used again.
-func (m *Machine) Refused(fence uint64) {
-	if m.phase == Holding && fence == m.fence {
+func (m *Machine) HandleRejection(fence uint64) {
+	if m.phase == Leading && fence == m.fence {
 		m.refused = true
 	}
 }
--- a/coord/leadership/duty_test.go
+++ b/coord/leadership/duty_test.go
@@ -36,14 +36,14 @@
 	r := newRoster("a", 1)
 	m := New(start, "a", "orders", lease, false)
 	assert.Assert(t, !m.Update(start, r))
-	assert.Equal(t, m.Acting(), coord.VMID(""), "it may not know the others yet")
+	assert.Equal(t, m.Leader(), coord.VMID(""), "it may not know the others yet")
 	assert.Assert(t, !m.Update(start.Add(settleTime), r))
-	assert.Equal(t, m.Acting(), coord.VMID("a"), "asked for decisions before it may order")
+	assert.Equal(t, m.Leader(), coord.VMID("a"), "asked for decisions before it may order")
 	assert.Assert(t, !m.Update(start.Add(lease-1), r))
 	assert.Assert(t, m.Update(start.Add(lease), r))
-	assert.Equal(t, m.Fence(), uint64(0), "no orders before the number is known")
-	m.Take(start.Add(lease), 50, true)
-	assert.Equal(t, m.Fence()>>tieBits, uint64(50))
+	assert.Equal(t, m.FencingToken(), uint64(0), "no orders before the number is known")
+	m.Acquire(start.Add(lease), 50, true)
+	assert.Equal(t, m.FencingToken()>>tieBits, uint64(50))
 }
 
 func TestTakeFails(t *testing.T) {
@@ -51,7 +51,7 @@
 	m := New(start, "a", "orders", lease, false)
 	m.Update(start, r)
 	assert.Assert(t, m.Update(start.Add(lease), r))
-	m.Take(start.Add(lease), 0, false)
+	m.Acquire(start.Add(lease), 0, false)
 	assert.Equal(t, m.Phase(), Waiting)
 	assert.Assert(t, m.Update(start.Add(lease+step), r), "asked again")
 }
@@ -72,18 +72,18 @@
 		t.Run(row.name, func(t *testing.T) {
 			r := newRoster("a", 1)
 			m := New(start, "a", "orders", lease, row.checked)
-			r.Merge(start, []roster.Entry{{ID: "b", Incarnation: 1, Beat: 1, Fence: row.heard, Leaving: true}})
+			r.Merge(start, []roster.Entry{{ID: "b", Incarnation: 1, Heartbeat: 1, FencingToken: row.heard, Leaving: true}})
 			m.Update(start, r)
-			r.Merge(start, []roster.Entry{{ID: "b", Incarnation: 1, Beat: 2, Leaving: true}})
+			r.Merge(start, []roster.Entry{{ID: "b", Incarnation: 1, Heartbeat: 2, Leaving: true}})
 			at := start.Add(lease)
 			for range 10 * maxUnread {
 				if at = at.Add(step); m.Update(at, r) {
-					m.Take(at, 0, false)
+					m.Acquire(at, 0, false)
 				}
 			}
-			assert.Equal(t, m.Fence() != 0, row.want)
+			assert.Equal(t, m.FencingToken() != 0, row.want)
 			if row.want {
-				assert.Assert(t, m.Fence() > row.heard)
+				assert.Assert(t, m.FencingToken() > row.heard)
 			}
 		})
 	}
@@ -92,18 +92,18 @@
 func TestOneLostAnswerOfTheStoreIsAskedForAgain(t *testing.T) {
 	r := newRoster("a", 1)
 	m := New(start, "a", "orders", lease, true)
-	r.Merge(start, []roster.Entry{{ID: "b", Incarnation: 1, Beat: 1, Fence: 1 << 20, Leaving: true}})
+	r.Merge(start, []roster.Entry{{ID: "b", Incarnation: 1, Heartbeat: 1, FencingToken: 1 << 20, Leaving: true}})
 	m.Update(start, r)
 	at := start
 	for !m.Update(at, r) {
 		at = at.Add(step)
-		r.Merge(at, []roster.Entry{{ID: "b", Incarnation: 1, Beat: 2, Leaving: true}})
+		r.Merge(at, []roster.Entry{{ID: "b", Incarnation: 1, Heartbeat: 2, Leaving: true}})
 	}
-	m.Take(at, 0, false)
+	m.Acquire(at, 0, false)
 	assert.Equal(t, m.Phase(), Waiting)
 	assert.Assert(t, m.Update(at.Add(step), r))
-	m.Take(at.Add(step), 50, true)
-	assert.Equal(t, m.Fence()>>tieBits, uint64(50))
+	m.Acquire(at.Add(step), 50, true)
+	assert.Equal(t, m.FencingToken()>>tieBits, uint64(50))
 }
 
 func TestEvents(t *testing.T) {
@@ -112,19 +112,19 @@
 		do   func(m *Machine, r *roster.Roster, at time.Time)
 		want Phase
 	}{
-		{"keeps it", func(*Machine, *roster.Roster, time.Time) {}, Holding},
+		{"keeps it", func(*Machine, *roster.Roster, time.Time) {}, Leading},
 		{"a higher claim", func(_ *Machine, r *roster.Roster, at time.Time) {
-			r.Merge(at, []roster.Entry{{ID: "b", Incarnation: 1, Beat: 1, Fence: 1 << 40}})
+			r.Merge(at, []roster.Entry{{ID: "b", Incarnation: 1, Heartbeat: 1, FencingToken: 1 << 40}})
 		}, Idle},
 		{"a lower claim", func(_ *Machine, r *roster.Roster, at time.Time) {
-			r.Merge(at, []roster.Entry{{ID: "b", Incarnation: 1, Beat: 1, Fence: 1}})
-		}, Holding},
-		{"an engine saw a higher number", func(m *Machine, _ *roster.Roster, _ time.Time) { m.Refused(m.Fence()) }, Waiting},
-		{"a refusal of an earlier number", func(m *Machine, _ *roster.Roster, _ time.Time) { m.Refused(m.Fence() - 1) }, Holding},
-		{"this VM stood still", func(m *Machine, _ *roster.Roster, at time.Time) { m.Paused(at) }, Waiting},
+			r.Merge(at, []roster.Entry{{ID: "b", Incarnation: 1, Heartbeat: 1, FencingToken: 1}})
+		}, Leading},
+		{"an engine saw a higher number", func(m *Machine, _ *roster.Roster, _ time.Time) { m.HandleRejection(m.FencingToken()) }, Waiting},
+		{"a refusal of an earlier number", func(m *Machine, _ *roster.Roster, _ time.Time) { m.HandleRejection(m.FencingToken() - 1) }, Leading},
+		{"this VM stood still", func(m *Machine, _ *roster.Roster, at time.Time) { m.HandleSuspension(at) }, Waiting},
 		{"this VM leaves", func(_ *Machine, r *roster.Roster, _ time.Time) { r.SetLeaving() }, Idle},
 		{"out of touch with most", func(_ *Machine, r *roster.Roster, at time.Time) {
-			r.Merge(at.Add(-suspect), []roster.Entry{{ID: "b", Incarnation: 1, Beat: 1}, {ID: "c", Incarnation: 1, Beat: 1}})
+			r.Merge(at.Add(-suspect), []roster.Entry{{ID: "b", Incarnation: 1, Heartbeat: 1}, {ID: "c", Incarnation: 1, Heartbeat: 1}})
 			for t := at.Add(-suspect); !t.After(at); t = t.Add(step) {
 				r.Tick(t)
 			}
@@ -135,7 +135,7 @@
 			m := New(start, "a", "orders", lease, false)
 			m.Update(start, r)
 			m.Update(start.Add(lease), r)
-			m.Take(start.Add(lease), 50, true)
+			m.Acquire(start.Add(lease), 50, true)
 			at := start.Add(lease + 2*suspect)
 			row.do(m, r, at)
 			m.Update(at, r)
@@ -143,7 +143,7 @@
 				m.Update(at, r)
 			}
 			assert.Equal(t, m.Phase(), row.want)
-			assert.Equal(t, m.Fence() != 0, row.want == Holding)
+			assert.Equal(t, m.FencingToken() != 0, row.want == Leading)
 		})
 	}
 }
@@ -153,15 +153,15 @@
 	m := New(start, "a", "orders", lease, false)
 	m.Update(start, r)
 	m.Update(start.Add(lease), r)
-	m.Take(start.Add(lease), 50, true)
-	first := m.Fence()
-	m.Refused(first)
+	m.Acquire(start.Add(lease), 50, true)
+	first := m.FencingToken()
+	m.HandleRejection(first)
 	at := start.Add(lease)
 	for !m.Update(at, r) {
 		at = at.Add(step)
 	}
-	m.Take(at, 50, true) // the store has not changed meanwhile
-	assert.Assert(t, m.Fence() > first)
+	m.Acquire(at, 50, true) // the store has not changed meanwhile
+	assert.Assert(t, m.FencingToken() > first)
 }
 
 // world is a fleet in virtual time for the random schedules.
@@ -216,7 +216,7 @@
 		v.r.Tick(w.now)
 		for j, other := range w.vms {
 			if i != j && other.up && !w.cut[i] && !w.cut[j] {
-				other.r.Merge(w.now, v.r.TellAll())
+				other.r.Merge(w.now, v.r.Snapshot())
 			}
 		}
 	}
@@ -225,9 +225,9 @@
 			continue
 		}
 		if v.m.Update(w.now, v.r) {
-			v.m.Take(w.now, w.revision, w.rng.IntN(4) > 0)
+			v.m.Acquire(w.now, w.revision, w.rng.IntN(4) > 0)
 		}
-		v.r.SetFence(v.m.Fence())
+		v.r.SetFencingToken(v.m.FencingToken())
 	}
 }
 
@@ -247,7 +247,7 @@
 func (w *world) holders() []*vm {
 	var out []*vm
 	for _, v := range w.vms {
-		if v.up && v.m.Fence() != 0 {
+		if v.up && v.m.FencingToken() != 0 {
 			out = append(out, v)
 		}
 	}
@@ -271,7 +271,7 @@
 			holders := w.holders()
 			assert.Assert(t, len(holders) <= 1, "seed %d, step %d: %d holders", seed, i, len(holders))
 			if len(holders) == 1 {
-				fence := holders[0].m.Fence()
+				fence := holders[0].m.FencingToken()
 				assert.Assert(t, fence>>tieBits >= highest>>tieBits, "seed %d, step %d: number %d after %d", seed, i, fence, highest)
 				highest = max(highest, fence)
 			}
--- a/coord/loadlimit/loadlimit.go
+++ b/coord/loadlimit/loadlimit.go
@@ -67,8 +67,8 @@
 	growAt time.Time
 }
 
-// Start is what is remembered of a load from its beginning; the zero value judges nothing.
-type Start struct {
+// StartedLoad is what is remembered of a load from its beginning; the zero value judges nothing.
+type StartedLoad struct {
 	step   int
 	judges bool
 }
@@ -78,8 +78,8 @@
 	return &Limit{guess: guess, value: float64(guess), growth: startGrowth, pause: firstPause}
 }
 
-// SetGuess begins anew if the guess has changed.
-func (l *Limit) SetGuess(guess int) {
+// SetInitial begins anew if the guess has changed.
+func (l *Limit) SetInitial(guess int) {
 	if guess != l.guess {
 		*l = *New(guess)
 	}
@@ -89,15 +89,15 @@
 func (l *Limit) Max() int { return int(l.value + 0.5) }
 
 // Begin takes the beginning of a load.
-func (l *Limit) Begin(now time.Time) Start {
-	return Start{step: l.step, judges: !now.Before(l.judgeFrom)}
+func (l *Limit) Begin(now time.Time) StartedLoad {
+	return StartedLoad{step: l.step, judges: !now.Before(l.judgeFrom)}
 }
 
-// Full takes that a load has to wait since Max are on their way.
-func (l *Limit) Full() { l.full = true }
+// ObserveFull takes that a load has to wait since Max are on their way.
+func (l *Limit) ObserveFull() { l.full = true }
 
-// Ended takes whether a load was there when it was expected.
-func (l *Limit) Ended(now time.Time, s Start, late bool) {
+// End takes whether a load was there when it was expected.
+func (l *Limit) End(now time.Time, s StartedLoad, late bool) {
 	if s.step != l.step || !s.judges {
 		return
 	}
--- a/coord/loadlimit/loadlimit_test.go
+++ b/coord/loadlimit/loadlimit_test.go
@@ -20,14 +20,14 @@
 // load is one load of the model: its end is moved when others begin or end.
 type load struct {
 	began time.Time
-	start Start
+	start StartedLoad
 	ends  time.Time
 }
 
 // tells is a load whose outcome becomes known at a time.
 type tells struct {
 	at    time.Time
-	start Start
+	start StartedLoad
 	late  bool
 }
 
@@ -76,14 +76,14 @@
 		underWay = rest
 		for len(told) > 0 && !told[0].at.After(now) {
 			x := heap.Pop(&told).(tells)
-			l.Ended(now, x.start, x.late)
+			l.End(now, x.start, x.late)
 		}
 		for waiting >= 1 && len(underWay) < l.Max() {
 			waiting--
 			underWay = append(underWay, &load{began: now, ends: now.Add(loadTime), start: l.Begin(now)})
 		}
 		if waiting >= 1 {
-			l.Full()
+			l.ObserveFull()
 		}
 		out.highest = max(out.highest, l.Max())
 	}
@@ -148,18 +148,18 @@
 	now := time.Unix(0, 0)
 	for range 500 {
 		now = now.Add(time.Second)
-		l.Ended(now, l.Begin(now), true)
+		l.End(now, l.Begin(now), true)
 	}
 	assert.Equal(t, l.Max(), 4)
 	l = New(4)
 	for range 500 {
 		now = now.Add(time.Second)
-		l.Ended(now, l.Begin(now), true)
+		l.End(now, l.Begin(now), true)
 	}
 	assert.Equal(t, l.Max(), least)
-	l.SetGuess(4)
+	l.SetInitial(4)
 	assert.Equal(t, l.Max(), least)
-	l.SetGuess(24)
+	l.SetInitial(24)
 	assert.Equal(t, l.Max(), 24)
 }
 
@@ -169,8 +169,8 @@
 	b.ReportAllocs()
 	for range b.N {
 		now = now.Add(time.Millisecond)
-		l.Full()
-		l.Ended(now, l.Begin(now), false)
+		l.ObserveFull()
+		l.End(now, l.Begin(now), false)
 		if l.Max() > 1000 {
 			l = New(16)
 		}
--- a/coord/loadpermit/example_test.go
+++ b/coord/loadpermit/example_test.go
@@ -7,12 +7,12 @@
 	"github.com/junctionfold/junctionfold/coord/loadpermit"
 )
 
-func ExampleGiver() {
+func ExampleIssuer() {
 	now := time.Unix(0, 0)
-	g := loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, Hold: 5 * time.Second})
-	fmt.Println(g.Ask(now, loadpermit.Ask{ID: 1, Value: 1}))
-	g.Ask(now, loadpermit.Ask{ID: 2, Value: 1})
-	g.Ask(now, loadpermit.Ask{ID: 3, Value: 9})
+	g := loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, MaxHoldTime: 5 * time.Second})
+	fmt.Println(g.Request(now, loadpermit.Request{ID: 1, Priority: 1}))
+	g.Request(now, loadpermit.Request{ID: 2, Priority: 1})
+	g.Request(now, loadpermit.Request{ID: 3, Priority: 9})
 	fmt.Println(g.Cancel(now.Add(time.Second), 1)) // 1 is done; 3 is worth most
 	// Output:
 	// [1]
--- a/coord/loadpermit/loadturn.go
+++ b/coord/loadpermit/loadturn.go
@@ -15,48 +15,48 @@
 	PerSecond float64
 	// Concurrent is how many loads may run at once.
 	Concurrent int
-	// Hold is the longest time that a turn lasts.
-	Hold time.Duration
+	// MaxHoldTime is the longest time that a turn lasts.
+	MaxHoldTime time.Duration
 }
 
-// Ask is a waiting request for a turn.
-type Ask struct {
+// Request is a waiting request for a turn.
+type Request struct {
 	// ID is the asker's own name for the request.
 	ID uint64
-	// Value orders the requests; higher goes first.
-	Value float64
+	// Priority orders the requests; higher goes first.
+	Priority float64
 }
 
-// Giver hands out turns.
-type Giver struct {
+// Issuer hands out turns.
+type Issuer struct {
 	cfg     Config
-	waiting []Ask
+	waiting []Request
 	out     map[uint64]time.Time
 	nextAt  time.Time
 }
 
 // New returns a Giver with no turns out.
-func New(cfg Config) *Giver {
-	return &Giver{cfg: cfg, out: map[uint64]time.Time{}}
+func New(cfg Config) *Issuer {
+	return &Issuer{cfg: cfg, out: map[uint64]time.Time{}}
 }
 
-// Ask queues a request and returns the ids whose turn has come.
-func (g *Giver) Ask(now time.Time, a Ask) []uint64 {
+// Request queues a request and returns the ids whose turn has come.
+func (g *Issuer) Request(now time.Time, a Request) []uint64 {
 	g.waiting = append(g.waiting, a)
 	return g.Tick(now)
 }
 
-// Raise changes the value of a waiting request.
-func (g *Giver) Raise(id uint64, value float64) {
+// RaisePriority changes the value of a waiting request.
+func (g *Issuer) RaisePriority(id uint64, value float64) {
 	for i := range g.waiting {
 		if g.waiting[i].ID == id {
-			g.waiting[i].Value = value
+			g.waiting[i].Priority = value
 		}
 	}
 }
 
 // Cancel withdraws a request or gives a turn back.
-func (g *Giver) Cancel(now time.Time, id uint64) []uint64 {
+func (g *Issuer) Cancel(now time.Time, id uint64) []uint64 {
 	delete(g.out, id)
 	for i, a := range g.waiting {
 		if a.ID == id {
@@ -68,7 +68,7 @@
 }
 
 // Tick returns the ids whose turn has come.
-func (g *Giver) Tick(now time.Time) []uint64 {
+func (g *Issuer) Tick(now time.Time) []uint64 {
 	g.takeBack(now)
 	var granted []uint64
 	for len(g.waiting) > 0 && len(g.out) < g.cfg.Concurrent && !now.Before(g.nextAt) {
@@ -80,25 +80,25 @@
 	return granted
 }
 
-// Next returns when Tick can grant again at the earliest.
-func (g *Giver) Next() time.Time { return g.nextAt }
+// NextGrant returns when Tick can grant again at the earliest.
+func (g *Issuer) NextGrant() time.Time { return g.nextAt }
 
-func (g *Giver) gap() time.Duration {
+func (g *Issuer) gap() time.Duration {
 	return time.Duration(float64(time.Second) / g.cfg.PerSecond)
 }
 
-func (g *Giver) takeBack(now time.Time) {
+func (g *Issuer) takeBack(now time.Time) {
 	for id, since := range g.out {
-		if now.Sub(since) >= g.cfg.Hold {
+		if now.Sub(since) >= g.cfg.MaxHoldTime {
 			delete(g.out, id)
 		}
 	}
 }
 
-func (g *Giver) takeBest() Ask {
+func (g *Issuer) takeBest() Request {
 	best := 0
 	for i, a := range g.waiting {
-		if a.Value > g.waiting[best].Value {
+		if a.Priority > g.waiting[best].Priority {
 			best = i
 		}
 	}
@@ -108,4 +108,4 @@
 }
 
 // SetRate takes a new rate.
-func (g *Giver) SetRate(perSecond float64) { g.cfg.PerSecond = perSecond }
+func (g *Issuer) SetRate(perSecond float64) { g.cfg.PerSecond = perSecond }
--- a/coord/loadpermit/loadturn_test.go
+++ b/coord/loadpermit/loadturn_test.go
@@ -16,10 +16,10 @@
 // TestTurns hands out turns by value, one at a time and at the store's rate, and
 // takes back one that was lost.
 func TestTurns(t *testing.T) {
-	g := loadpermit.New(loadpermit.Config{PerSecond: 4, Concurrent: 1, Hold: 2 * time.Second})
-	assert.DeepEqual(t, g.Ask(at(0), loadpermit.Ask{ID: 1, Value: 1}), []uint64{1})
-	assert.Equal(t, len(g.Ask(at(0), loadpermit.Ask{ID: 2, Value: 1})), 0)
-	assert.Equal(t, len(g.Ask(at(0), loadpermit.Ask{ID: 3, Value: 5})), 0)
+	g := loadpermit.New(loadpermit.Config{PerSecond: 4, Concurrent: 1, MaxHoldTime: 2 * time.Second})
+	assert.DeepEqual(t, g.Request(at(0), loadpermit.Request{ID: 1, Priority: 1}), []uint64{1})
+	assert.Equal(t, len(g.Request(at(0), loadpermit.Request{ID: 2, Priority: 1})), 0)
+	assert.Equal(t, len(g.Request(at(0), loadpermit.Request{ID: 3, Priority: 5})), 0)
 	assert.Equal(t, len(g.Cancel(at(100), 1)), 0) // 250 ms between turns
 	assert.DeepEqual(t, g.Tick(at(250)), []uint64{3})
 	assert.Equal(t, len(g.Tick(at(1000))), 0)
@@ -27,9 +27,9 @@
 }
 
 func TestCancelledAskGetsNoTurn(t *testing.T) {
-	g := loadpermit.New(loadpermit.Config{PerSecond: 4, Concurrent: 1, Hold: time.Second})
-	g.Ask(at(0), loadpermit.Ask{ID: 1})
-	g.Ask(at(0), loadpermit.Ask{ID: 2})
+	g := loadpermit.New(loadpermit.Config{PerSecond: 4, Concurrent: 1, MaxHoldTime: time.Second})
+	g.Request(at(0), loadpermit.Request{ID: 1})
+	g.Request(at(0), loadpermit.Request{ID: 2})
 	g.Cancel(at(0), 2)
 	assert.Equal(t, len(g.Cancel(at(500), 1)), 0)
 }
--- a/coord/membership/example_test.go
+++ b/coord/membership/example_test.go
@@ -10,14 +10,14 @@
 func ExampleTracker() {
 	now := time.Unix(0, 0)
 	t := membership.New(membership.Config{Self: "a", SuspectAfter: 1500 * time.Millisecond, Monitors: 3})
-	t.ApplyList(now, 1, []membership.Listed{{ID: "a"}, {ID: "b"}})
+	t.ApplyList(now, 1, []membership.ListedVM{{ID: "a"}, {ID: "b"}})
 	for range 4 { // b sends no heartbeat
 		now = now.Add(500 * time.Millisecond)
 		for _, m := range t.Tick(now) {
 			fmt.Println(m.ID, m.State)
 		}
 	}
-	t.Heard(now, "b", 1, false)
+	t.HandleHeartbeat(now, "b", 1, false)
 	fmt.Println("b", t.Member("b").State)
 	// Output:
 	// b suspect
--- a/coord/membership/membership.go
+++ b/coord/membership/membership.go
@@ -43,17 +43,17 @@
 	return "unknown"
 }
 
-// Listed is one line of the published list.
-type Listed struct {
+// ListedVM is one line of the published list.
+type ListedVM struct {
 	ID      coord.VMID
-	Hall    string
+	Zone    string
 	Address string
 	Leaving bool
 }
 
 // Member is a VM as this VM sees it.
 type Member struct {
-	Listed
+	ListedVM
 	State State
 	// Incarnation of the process last heard from; zero when never heard.
 	Incarnation uint64
@@ -102,7 +102,7 @@
 // ApplyList takes a reading of the published list. A version that is not newer
 // than the one held is ignored, so a stale reader cannot bring a dead VM back.
 // It returns the ids that the list dropped.
-func (t *Tracker) ApplyList(now time.Time, version uint64, list []Listed) []coord.VMID {
+func (t *Tracker) ApplyList(now time.Time, version uint64, list []ListedVM) []coord.VMID {
 	if version <= t.version {
 		return nil
 	}
@@ -123,12 +123,12 @@
 }
 
 // carry keeps what is known of a VM that stays in the list.
-func (t *Tracker) carry(now time.Time, l Listed) *Member {
+func (t *Tracker) carry(now time.Time, l ListedVM) *Member {
 	m, ok := t.byID[l.ID]
 	if !ok {
 		m = &Member{State: Live, hash: rendezvous.Hash(string(l.ID)), lastHeard: now}
 	}
-	m.Listed = l
+	m.ListedVM = l
 	if l.Leaving {
 		m.State = Leaving
 	}
@@ -197,9 +197,9 @@
 	m.monitored = on
 }
 
-// Heard takes a sign of life. It returns true when the view changed: a suspect
+// HandleHeartbeat takes a sign of life. It returns true when the view changed: a suspect
 // VM is live again, a VM started anew, or it says that it leaves.
-func (t *Tracker) Heard(now time.Time, id coord.VMID, incarnation uint64, leaving bool) bool {
+func (t *Tracker) HandleHeartbeat(now time.Time, id coord.VMID, incarnation uint64, leaving bool) bool {
 	m := t.byID[id]
 	if m == nil || incarnation < m.Incarnation {
 		return false
@@ -221,9 +221,9 @@
 	return Live
 }
 
-// Suspected takes another VM's notice that id's heartbeats have stopped. A
+// HandleSuspicion takes another VM's notice that id's heartbeats have stopped. A
 // notice about an older incarnation, or about this VM itself, changes nothing.
-func (t *Tracker) Suspected(now time.Time, id coord.VMID, incarnation uint64) bool {
+func (t *Tracker) HandleSuspicion(now time.Time, id coord.VMID, incarnation uint64) bool {
 	m := t.byID[id]
 	if m == nil || id == t.cfg.Self || incarnation < m.Incarnation {
 		return false
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -17,10 +17,10 @@
 // at is a time in milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func listed(ids ...coord.VMID) []membership.Listed {
-	var out []membership.Listed
+func listed(ids ...coord.VMID) []membership.ListedVM {
+	var out []membership.ListedVM
 	for _, id := range ids {
-		out = append(out, membership.Listed{ID: id, Hall: "h"})
+		out = append(out, membership.ListedVM{ID: id, Zone: "h"})
 	}
 	return out
 }
@@ -53,32 +53,32 @@
 			for ms := 0; ms <= 2000; ms += 500 {
 				t.Tick(at(ms))
 			}
-			t.Heard(at(2100), "b", 1, false)
+			t.HandleHeartbeat(at(2100), "b", 1, false)
 		}, membership.Live},
-		{"another VM's suspicion", func(t *membership.Tracker) { t.Suspected(at(3), "b", 1) }, membership.Suspect},
+		{"another VM's suspicion", func(t *membership.Tracker) { t.HandleSuspicion(at(3), "b", 1) }, membership.Suspect},
 		{"a suspicion of an earlier process", func(t *membership.Tracker) {
-			t.Heard(at(1), "b", 7, false)
-			t.Suspected(at(3), "b", 6)
+			t.HandleHeartbeat(at(1), "b", 7, false)
+			t.HandleSuspicion(at(3), "b", 6)
 		}, membership.Live},
 		{"a late heartbeat of an earlier process", func(t *membership.Tracker) {
-			t.Heard(at(1), "b", 7, false)
-			t.Suspected(at(3), "b", 7)
-			t.Heard(at(2), "b", 6, false)
+			t.HandleHeartbeat(at(1), "b", 7, false)
+			t.HandleSuspicion(at(3), "b", 7)
+			t.HandleHeartbeat(at(2), "b", 6, false)
 		}, membership.Suspect},
-		{"it says that it leaves", func(t *membership.Tracker) { t.Heard(at(1), "b", 1, true) }, membership.Leaving},
+		{"it says that it leaves", func(t *membership.Tracker) { t.HandleHeartbeat(at(1), "b", 1, true) }, membership.Leaving},
 		{"it leaves, a late heartbeat does not know yet", func(t *membership.Tracker) {
-			t.Heard(at(1), "b", 1, true)
-			t.Heard(at(2), "b", 1, false)
+			t.HandleHeartbeat(at(1), "b", 1, true)
+			t.HandleHeartbeat(at(2), "b", 1, false)
 		}, membership.Leaving},
 		{"it left and has started anew", func(t *membership.Tracker) {
-			t.Heard(at(1), "b", 1, true)
-			t.Heard(at(2), "b", 2, false)
+			t.HandleHeartbeat(at(1), "b", 1, true)
+			t.HandleHeartbeat(at(2), "b", 2, false)
 		}, membership.Live},
 		{"the list says that it leaves", func(t *membership.Tracker) {
 			l := listed("a", "b", "c")
 			l[1].Leaving = true
 			t.ApplyList(at(1), 6, l)
-			t.Heard(at(2), "b", 3, false)
+			t.HandleHeartbeat(at(2), "b", 3, false)
 		}, membership.Leaving},
 		{"an older list without it", func(t *membership.Tracker) { t.ApplyList(at(1), 4, listed("a", "c")) }, membership.Live},
 		{"the same version of the list without it", func(t *membership.Tracker) { t.ApplyList(at(1), 5, listed("a", "c")) }, membership.Live},
--- a/coord/outcome/example_test.go
+++ b/coord/outcome/example_test.go
@@ -11,15 +11,15 @@
 	now := time.Unix(0, 0)
 	first, second := outcome.NewTable(limits), outcome.NewTable(limits)
 	ask := func(run string) outcome.Decision {
-		q := outcome.NewQuorum(now, outcome.Holders)
+		q := outcome.NewQuorum(now, outcome.ReplicationFactor)
 		for _, t := range []*outcome.Table{first, second} {
 			verdict, record := t.Begin(now, "order-7", run, nil)
-			q.Voted(now, outcome.Vote{Verdict: verdict, Certain: true, Record: record})
+			q.RecordVote(now, outcome.Vote{Result: verdict, Authoritative: true, Record: record})
 		}
-		return q.Silent() // the third cannot be reached
+		return q.RecordNoResponse() // the third cannot be reached
 	}
 	fmt.Println(ask("try-1") == outcome.Run)
-	fmt.Println(ask("try-2") == outcome.Join) // the first is open
+	fmt.Println(ask("try-2") == outcome.AwaitRun) // the first is open
 	for _, t := range []*outcome.Table{first, second} {
 		t.Finish(now, "order-7", "try-1", outcome.Done, []byte("ticket 12"))
 	}
--- a/coord/outcome/holders.go
+++ b/coord/outcome/holders.go
@@ -22,7 +22,7 @@
 	h := &HolderSet{}
 	for _, m := range members {
 		h.ids = append(h.ids, m.ID)
-		h.halls = append(h.halls, m.Hall)
+		h.halls = append(h.halls, m.Zone)
 		h.hashes = append(h.hashes, rendezvous.Hash(string(m.ID)))
 	}
 	return h
@@ -37,9 +37,9 @@
 // from a hall that has none yet, as long as there is such a hall. O(VMs).
 func (h *HolderSet) Holders(key string) []coord.VMID {
 	k := rendezvous.Hash(key)
-	out := make([]coord.VMID, 0, Holders)
-	taken := make([]int, 0, Holders)
-	for len(out) < Holders && len(out) < len(h.ids) {
+	out := make([]coord.VMID, 0, ReplicationFactor)
+	taken := make([]int, 0, ReplicationFactor)
+	for len(out) < ReplicationFactor && len(out) < len(h.ids) {
 		at := h.nextHolder(k, taken)
 		taken = append(taken, at)
 		out = append(out, h.ids[at])
@@ -55,7 +55,7 @@
 		if slices.Contains(taken, i) {
 			continue
 		}
-		w, fresh := rendezvous.Mix(hash, key), h.isFreshHall(i, taken)
+		w, fresh := rendezvous.Weight(hash, key), h.isFreshHall(i, taken)
 		if best < 0 || (fresh && !bestFresh) || (fresh == bestFresh && w > weight) {
 			best, bestFresh, weight = i, fresh, w
 		}
@@ -87,21 +87,21 @@
 	whole     bool
 	// answered is what each VM said that has given its records since the last
 	// change.
-	answered map[coord.VMID]Giver
+	answered map[coord.VMID]RecoverySource
 	// born are the processes that were fresh when this one found the whole
 	// fleet to be so.
 	born map[coord.VMID]uint64
 }
 
-// Giver is what a VM says of itself when it gives its records.
-type Giver struct {
-	// Life is the incarnation of its process.
-	Life uint64
-	// Whole says that it has lost no records, or has got them back.
-	Whole bool
-	// Certifies says that it found the whole fleet fresh, the asker's process
+// RecoverySource is what a VM says of itself when it gives its records.
+type RecoverySource struct {
+	// Incarnation is the incarnation of its process.
+	Incarnation uint64
+	// Complete says that it has lost no records, or has got them back.
+	Complete bool
+	// ConfirmsFreshStart says that it found the whole fleet fresh, the asker's process
 	// among it.
-	Certifies bool
+	ConfirmsFreshStart bool
 }
 
 type dated struct {
@@ -113,7 +113,7 @@
 
 // NewHistory returns the History of a VM whose process started at now.
 func NewHistory(self coord.VMID, retention time.Duration, now time.Time) *History {
-	return &History{self: self, retention: retention, started: now, answered: map[coord.VMID]Giver{}}
+	return &History{self: self, retention: retention, started: now, answered: map[coord.VMID]RecoverySource{}}
 }
 
 // Changed notes that set is in force from now on, and forgets the sets that
@@ -127,40 +127,40 @@
 	for len(h.sets) > 1 && now.Sub(h.sets[1].since) >= h.retention {
 		h.sets = h.sets[1:]
 	}
-	h.answered = map[coord.VMID]Giver{}
+	h.answered = map[coord.VMID]RecoverySource{}
 }
 
 // SetRetention takes a new retention. When it grows, sets that are forgotten
 // already do not come back.
 func (h *History) SetRetention(d time.Duration) { h.retention = d }
 
-// MayAsk reports whether the other VMs may be asked for records: not before the
+// MayRequestRecords reports whether the other VMs may be asked for records: not before the
 // votes of this VM's earlier process have lost their force.
-func (h *History) MayAsk(now time.Time) bool { return now.Sub(h.started) > VoteLife }
+func (h *History) MayRequestRecords(now time.Time) bool { return now.Sub(h.started) > VoteValidity }
 
-// Answered notes that vm has given its records.
-func (h *History) Answered(vm coord.VMID, g Giver) {
+// RecordResponse notes that vm has given its records.
+func (h *History) RecordResponse(vm coord.VMID, g RecoverySource) {
 	h.answered[vm] = g
-	h.whole = h.whole || g.Certifies
+	h.whole = h.whole || g.ConfirmsFreshStart
 }
 
-// AllAnswered notes that every other listed VM has answered since the last
+// CompleteRecovery notes that every other listed VM has answered since the last
 // change. A fresh process is whole then if all of them were. If none was, the
 // fleet has started as a whole: no run can have been granted since, so there is
 // nothing to recover, and the same holds for each of the processes that answered.
 // If some were whole and some not, as after two crashes at once, this process is
 // not whole before a retention has passed.
-func (h *History) AllAnswered() {
+func (h *History) CompleteRecovery() {
 	count := 0
 	for _, g := range h.answered {
-		if g.Whole {
+		if g.Complete {
 			count++
 		}
 	}
 	if count == 0 && !h.whole {
 		h.born = map[coord.VMID]uint64{}
 		for vm, g := range h.answered {
-			h.born[vm] = g.Life
+			h.born[vm] = g.Incarnation
 		}
 	}
 	if count == len(h.answered) || count == 0 {
@@ -168,16 +168,16 @@
 	}
 }
 
-// Certifies reports whether vm's process was fresh when this one found the whole
+// ConfirmsFreshStart reports whether vm's process was fresh when this one found the whole
 // fleet to be so.
-func (h *History) Certifies(vm coord.VMID, life uint64) bool {
+func (h *History) ConfirmsFreshStart(vm coord.VMID, life uint64) bool {
 	born, ok := h.born[vm]
 	return ok && born == life
 }
 
-// Whole reports whether this process has the records that the VM held before it
+// Complete reports whether this process has the records that the VM held before it
 // started, as far as they are younger than the retention.
-func (h *History) Whole(now time.Time) bool {
+func (h *History) Complete(now time.Time) bool {
 	return h.whole || now.Sub(h.started) >= h.retention
 }
 
@@ -189,12 +189,12 @@
 	return h.sets[len(h.sets)-1].set
 }
 
-// Certain reports whether this VM can have missed no record of the key that is
+// Authoritative reports whether this VM can have missed no record of the key that is
 // younger than the retention. It must be a holder now; for every set that was in
 // force in that time it was there as a holder itself, or it has the records of
 // two of the set's holders. A record stands at two of three, so two of them
 // cannot both lack it.
-func (h *History) Certain(now time.Time, key string) bool {
+func (h *History) Authoritative(now time.Time, key string) bool {
 	if len(h.sets) == 0 || !slices.Contains(h.Current().Holders(key), h.self) {
 		return false
 	}
@@ -211,7 +211,7 @@
 }
 
 func (h *History) covers(now time.Time, d dated, key string) bool {
-	if !d.present && h.Whole(now) {
+	if !d.present && h.Complete(now) {
 		return true
 	}
 	holders := d.set.Holders(key)
@@ -220,9 +220,9 @@
 	}
 	have := 0
 	for _, id := range holders {
-		if id != h.self && h.answered[id].Whole {
+		if id != h.self && h.answered[id].Complete {
 			have++
 		}
 	}
-	return have >= Needed
+	return have >= QuorumSize
 }
--- a/coord/outcome/model_test.go
+++ b/coord/outcome/model_test.go
@@ -95,7 +95,7 @@
 	v.asked = map[int]bool{}
 	var members []*membership.Member
 	for _, j := range w.lists[version] {
-		members = append(members, &membership.Member{Listed: membership.Listed{ID: w.vms[j].id, Hall: w.vms[j].hall}})
+		members = append(members, &membership.Member{ListedVM: membership.ListedVM{ID: w.vms[j].id, Zone: w.vms[j].hall}})
 	}
 	v.history.Changed(w.now, outcome.NewHolderSet(members))
 }
@@ -113,7 +113,7 @@
 // sync asks the other listed VMs for records.
 func (w *world) sync(i int) {
 	v, life, version := w.vms[i], w.vms[i].life, w.vms[i].list
-	if !v.history.MayAsk(w.now) && w.broken != askEarly {
+	if !v.history.MayRequestRecords(w.now) && w.broken != askEarly {
 		return
 	}
 	for _, j := range w.lists[version] {
@@ -129,9 +129,9 @@
 			if other.list != version {
 				return
 			}
-			giver := outcome.Giver{
-				Life: uint64(other.life), Whole: other.history.Whole(w.now) || w.broken == notWhole,
-				Certifies: other.history.Certifies(v.id, uint64(life)),
+			giver := outcome.RecoverySource{
+				Incarnation: uint64(other.life), Complete: other.history.Complete(w.now) || w.broken == notWhole,
+				ConfirmsFreshStart: other.history.ConfirmsFreshStart(v.id, uint64(life)),
 			}
 			var records []outcome.Record
 			other.table.Each(func(r *outcome.Record) { records = append(records, *r) })
@@ -145,18 +145,18 @@
 	}
 }
 
-func (w *world) takeSync(i, j, version int, giver outcome.Giver, records []outcome.Record) {
+func (w *world) takeSync(i, j, version int, giver outcome.RecoverySource, records []outcome.Record) {
 	v := w.vms[i]
 	for _, r := range records {
-		v.table.Copy(w.now, r)
+		v.table.Merge(w.now, r)
 	}
 	if v.list != version {
 		return
 	}
 	v.asked[j] = true
-	v.history.Answered(w.vms[j].id, giver)
+	v.history.RecordResponse(w.vms[j].id, giver)
 	if len(v.asked) == len(w.lists[version])-1 {
-		v.history.AllAnswered()
+		v.history.CompleteRecovery()
 	}
 }
 
@@ -188,23 +188,23 @@
 		j := w.index(id)
 		w.send(func(arrives bool) {
 			if !arrives {
-				vote(func() { q.Silent() })
+				vote(func() { q.RecordNoResponse() })
 				return
 			}
 			w.adopt(j, version)
 			if w.vms[j].list != version && w.broken != oldList {
-				vote(func() { q.Silent() })
+				vote(func() { q.RecordNoResponse() })
 				return
 			}
 			verdict, r := w.vms[j].table.Begin(w.now, key, run, nil)
-			certain := w.vms[j].history.Certain(w.now, key) || w.broken == noCertainty
-			ballot := outcome.Vote{Verdict: verdict, Certain: certain, Record: r}
+			certain := w.vms[j].history.Authoritative(w.now, key) || w.broken == noCertainty
+			ballot := outcome.Vote{Result: verdict, Authoritative: certain, Record: r}
 			w.send(func(arrives bool) {
 				vote(func() {
 					if arrives {
-						q.Voted(w.now, ballot)
+						q.RecordVote(w.now, ballot)
 					} else {
-						q.Silent()
+						q.RecordNoResponse()
 					}
 				})
 			})
@@ -277,7 +277,7 @@
 	n := 0
 	for _, j := range w.lists[len(w.lists)-1] {
 		v := w.vms[j]
-		if v.list != len(w.lists)-1 || !v.history.Whole(w.now) || len(v.asked) < listed-1 {
+		if v.list != len(w.lists)-1 || !v.history.Complete(w.now) || len(v.asked) < listed-1 {
 			n++
 		}
 	}
--- a/coord/outcome/outcome.go
+++ b/coord/outcome/outcome.go
@@ -31,8 +31,8 @@
 
 // Holders is how many VMs hold each record, Needed how many must accept.
 const (
-	Holders = 3
-	Needed  = 2
+	ReplicationFactor = 3
+	QuorumSize        = 2
 )
 
 // Status is how far the run of a key has come.
@@ -68,13 +68,13 @@
 	rivals []Record
 }
 
-// Verdict is a holder's answer to Begin.
-type Verdict int
+// VoteResult is a holder's answer to Begin.
+type VoteResult int
 
 // The verdicts of a holder.
 const (
 	// Granted means that the run is recorded here.
-	Granted Verdict = iota + 1
+	Granted VoteResult = iota + 1
 	// Busy means that another run of the key is open.
 	Busy
 	// Repeat means that the key has an outcome.
@@ -129,7 +129,7 @@
 }
 
 // Begin records that run is about to run key.
-func (t *Table) Begin(now time.Time, key, run string, fingerprint []byte) (Verdict, *Record) {
+func (t *Table) Begin(now time.Time, key, run string, fingerprint []byte) (VoteResult, *Record) {
 	t.Expire(now)
 	old := t.records[key]
 	if old == nil {
@@ -150,7 +150,7 @@
 	return Busy, old
 }
 
-func (t *Table) insert(now time.Time, r *Record) (Verdict, *Record) {
+func (t *Table) insert(now time.Time, r *Record) (VoteResult, *Record) {
 	if t.bytes+r.size() > t.cfg.MaxBytes {
 		return Full, nil
 	}
@@ -242,10 +242,10 @@
 	r.rivals = kept
 }
 
-// Copy takes a record from another holder. A finished run replaces open ones;
+// Merge takes a record from another holder. A finished run replaces open ones;
 // nothing replaces it. A run that was not made leaves no trace. Two open runs
 // are both kept.
-func (t *Table) Copy(now time.Time, r Record) {
+func (t *Table) Merge(now time.Time, r Record) {
 	if now.Sub(r.Since) >= t.cfg.Retention || r.Status == NotRun {
 		return
 	}
--- a/coord/outcome/quorum.go
+++ b/coord/outcome/quorum.go
@@ -13,8 +13,8 @@
 	Run
 	// Answer with the outcome of the earlier run.
 	Answer
-	// Join waits for the run that is open, then asks again.
-	Join
+	// AwaitRun waits for the run that is open, then asks again.
+	AwaitRun
 	// RefuseMismatch: the key belongs to a different request.
 	RefuseMismatch
 	// RefuseUnknown: too few certain holders answered, or the outcome of the
@@ -26,19 +26,19 @@
 
 // Vote is one holder's answer.
 type Vote struct {
-	Verdict Verdict
-	// Certain says that the holder can have missed no record of the key.
-	Certain bool
+	Result VoteResult
+	// Authoritative says that the holder can have missed no record of the key.
+	Authoritative bool
 	// Record is what the holder had, for Busy and Repeat.
 	Record *Record
 }
 
-// VoteLife is how long a vote counts after its Begin was sent. A holder that
+// VoteValidity is how long a vote counts after its Begin was sent. A holder that
 // starts anew asks the others for records only once this time has passed since
 // its start: by then each run that was granted with a vote of its earlier process
 // stands at another holder. Only the time that passes at each of the two counts,
 // so a clock that is wrong does no harm, and a pause makes a vote too old.
-const VoteLife = time.Second
+const VoteValidity = time.Second
 
 // Quorum collects the answers to one Begin.
 type Quorum struct {
@@ -61,13 +61,13 @@
 	return &Quorum{sent: now, holders: holders}
 }
 
-// Voted takes a holder's answer.
-func (q *Quorum) Voted(now time.Time, v Vote) Decision {
+// RecordVote takes a holder's answer.
+func (q *Quorum) RecordVote(now time.Time, v Vote) Decision {
 	q.heard++
-	if now.Sub(q.sent) > VoteLife {
-		v.Certain = false
+	if now.Sub(q.sent) > VoteValidity {
+		v.Authoritative = false
 	}
-	switch v.Verdict {
+	switch v.Result {
 	case Mismatch:
 		q.clash = true
 	case Repeat:
@@ -78,15 +78,15 @@
 	case Full:
 		q.full++
 	case Granted:
-		if v.Certain {
+		if v.Authoritative {
 			q.granted++
 		}
 	}
 	return q.Decide()
 }
 
-// Silent takes the failure to reach a holder.
-func (q *Quorum) Silent() Decision {
+// RecordNoResponse takes the failure to reach a holder.
+func (q *Quorum) RecordNoResponse() Decision {
 	q.heard++
 	q.silent++
 	return q.Decide()
@@ -109,10 +109,10 @@
 		return RefuseUnknown
 	case q.heard < q.holders:
 		return Wait
-	case q.granted >= min(Needed, q.holders):
+	case q.granted >= min(QuorumSize, q.holders):
 		return Run
 	case q.open > 0:
-		return Join
+		return AwaitRun
 	case q.full > 0:
 		return RefuseFull
 	}
--- a/coord/ownership/choose.go
+++ b/coord/ownership/choose.go
@@ -40,10 +40,10 @@
 			continue
 		}
 		c.all.add(m)
-		if c.halls[m.Hall] == nil {
-			c.halls[m.Hall] = &pool{}
+		if c.halls[m.Zone] == nil {
+			c.halls[m.Zone] = &pool{}
 		}
-		c.halls[m.Hall].add(m)
+		c.halls[m.Zone].add(m)
 	}
 	return c
 }
--- a/coord/ownership/choose_test.go
+++ b/coord/ownership/choose_test.go
@@ -22,9 +22,9 @@
 
 func plannedFleet() *membership.Tracker {
 	t := membership.New(membership.Config{Self: "vm-000", SuspectAfter: time.Second, Monitors: 3})
-	var list []membership.Listed
+	var list []membership.ListedVM
 	for i := range plannedVMs {
-		list = append(list, membership.Listed{ID: coord.VMID(fmt.Sprintf("vm-%03d", i)), Hall: fmt.Sprintf("hall-%02d", i%plannedHalls)})
+		list = append(list, membership.ListedVM{ID: coord.VMID(fmt.Sprintf("vm-%03d", i)), Zone: fmt.Sprintf("hall-%02d", i%plannedHalls)})
 	}
 	t.ApplyList(now, 1, list)
 	return t
@@ -70,15 +70,15 @@
 		moves int
 	}{
 		{"a VM", func(m *membership.Member) bool { return m.ID == "vm-007" }, 15},
-		{"a hall", func(m *membership.Member) bool { return m.Hall == "hall-03" }, 84},
-		{"a region of two halls", func(m *membership.Member) bool { return m.Hall == "hall-03" || m.Hall == "hall-04" }, 168},
+		{"a hall", func(m *membership.Member) bool { return m.Zone == "hall-03" }, 84},
+		{"a region of two halls", func(m *membership.Member) bool { return m.Zone == "hall-03" || m.Zone == "hall-04" }, 168},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			tr := plannedFleet()
 			before := owners(tr)
 			for _, m := range tr.Members() {
 				if row.hit(m) {
-					tr.Suspected(now, m.ID, 1)
+					tr.HandleSuspicion(now, m.ID, 1)
 				}
 			}
 			during := owners(tr)
@@ -88,7 +88,7 @@
 			}
 			t.Logf("%d of %d targets moved; one VM owns at most %d, before %d", moved(before, during), plannedTargets, most(during), most(before))
 			for _, m := range tr.Members() {
-				tr.Heard(now, m.ID, 1, false)
+				tr.HandleHeartbeat(now, m.ID, 1, false)
 			}
 			assert.DeepEqual(t, owners(tr), before)
 		})
@@ -101,11 +101,11 @@
 	tr := plannedFleet()
 	before := owners(tr)
 	for i := range 60 {
-		tr.Suspected(now.Add(time.Duration(i)*time.Second), "vm-100", 1)
+		tr.HandleSuspicion(now.Add(time.Duration(i)*time.Second), "vm-100", 1)
 		for n, o := range owners(tr) {
 			assert.Assert(t, o == before[n] || before[n] == "vm-100")
 		}
-		tr.Heard(now.Add(time.Duration(i)*time.Second), "vm-100", 1, false)
+		tr.HandleHeartbeat(now.Add(time.Duration(i)*time.Second), "vm-100", 1, false)
 	}
 	assert.DeepEqual(t, owners(tr), before)
 }
--- a/coord/ownership/ownership.go
+++ b/coord/ownership/ownership.go
@@ -69,8 +69,8 @@
 // Phase returns the step reached.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Fence returns the number that this VM orders under; zero when it has none.
-func (m *Machine) Fence() uint64 { return m.fence }
+// FencingToken returns the number that this VM orders under; zero when it has none.
+func (m *Machine) FencingToken() uint64 { return m.fence }
 
 // Holds returns the VMs that have not released the target, in order.
 func (m *Machine) Holds() []coord.VMID {
@@ -82,9 +82,9 @@
 	return out
 }
 
-// Want says whether the current view makes this VM the owner, and which other
+// SetDesired says whether the current view makes this VM the owner, and which other
 // VMs of the list can have owned the target before.
-func (m *Machine) Want(now time.Time, wanted bool, others []coord.VMID) []Action {
+func (m *Machine) SetDesired(now time.Time, wanted bool, others []coord.VMID) []Action {
 	acts := m.dropReleased(others)
 	m.wanted = wanted
 	if wanted && m.phase == Idle {
@@ -161,29 +161,29 @@
 // fenceClockShift leaves the low bits of a fencing number for the tie-break.
 const fenceClockShift = 16
 
-// NextFence returns a number above seen that grows with the wall clock, so that
+// NextFencingToken returns a number above seen that grows with the wall clock, so that
 // a VM which reads no number from the target still passes earlier owners.
-func NextFence(now time.Time, seen uint64, tie uint16) uint64 {
+func NextFencingToken(now time.Time, seen uint64, tie uint16) uint64 {
 	clock := max(uint64(now.UnixMilli()), seen>>fenceClockShift+1)
 	return clock<<fenceClockShift | uint64(tie)
 }
 
-// Read takes the target's report.
-func (m *Machine) Read(now time.Time, r Report) []Action {
+// HandleReport takes the target's report.
+func (m *Machine) HandleReport(now time.Time, r Report) []Action {
 	if m.phase != Reading {
 		return nil
 	}
 	m.phase = Claiming
 	m.nextTry = now.Add(retryPause)
-	m.fence = NextFence(now, max(r.Fence, m.floor), m.tie)
+	m.fence = NextFencingToken(now, max(r.FencingToken, m.floor), m.tie)
 	m.resident = r.Resident
-	return []Action{{Kind: ActClaim, Fence: m.fence}}
+	return []Action{{Kind: ActClaim, FencingToken: m.fence}}
 }
 
-// Claimed takes the target's acceptance of the claim under fence, with a report
+// HandleClaimAccepted takes the target's acceptance of the claim under fence, with a report
 // made after it: what an earlier owner changed between Read and the claim shows
 // there.
-func (m *Machine) Claimed(now time.Time, fence uint64, r Report) []Action {
+func (m *Machine) HandleClaimAccepted(now time.Time, fence uint64, r Report) []Action {
 	if m.phase != Claiming || fence != m.fence {
 		return nil
 	}
@@ -191,7 +191,7 @@
 	m.servingSince = now
 	m.nextTry = now.Add(retryPause)
 	m.resident = r.Resident
-	acts := []Action{{Kind: ActServe, Fence: m.fence, Resident: r.Resident}}
+	acts := []Action{{Kind: ActServe, FencingToken: m.fence, Resident: r.Resident}}
 	acts = append(acts, m.setHolds()...)
 	return append(acts, m.askReleases()...)
 }
@@ -199,15 +199,15 @@
 func (m *Machine) askReleases() []Action {
 	acts := make([]Action, 0, len(m.holds))
 	for _, id := range m.Holds() {
-		acts = append(acts, Action{Kind: ActAskRelease, VM: id, Fence: m.fence})
+		acts = append(acts, Action{Kind: ActRequestRelease, VM: id, FencingToken: m.fence})
 	}
 	return acts
 }
 
-// Refused takes the target's refusal of an order under fence: another VM has
+// HandleRejection takes the target's refusal of an order under fence: another VM has
 // passed this one. The VM stops at once; when its view still makes it the
 // owner, it reads again after a pause.
-func (m *Machine) Refused(now time.Time, fence, seen uint64) []Action {
+func (m *Machine) HandleRejection(now time.Time, fence, seen uint64) []Action {
 	m.floor = max(m.floor, seen)
 	if fence != m.fence || m.phase == Idle || m.phase == Draining {
 		return nil
@@ -234,9 +234,9 @@
 // contestMemory is the tenure after which earlier contests are forgotten.
 const contestMemory = 30 * time.Second
 
-// Rebooted takes the news that the target has started anew and has forgotten its
+// HandleRestart takes the news that the target has started anew and has forgotten its
 // fencing number. The VM claims it afresh before it uses what it finds.
-func (m *Machine) Rebooted(now time.Time) []Action {
+func (m *Machine) HandleRestart(now time.Time) []Action {
 	if m.phase != Serving {
 		return nil
 	}
@@ -244,9 +244,9 @@
 	return m.stepDown(now)
 }
 
-// Released takes vm's word that it starts no request under a number below fence,
+// HandleRelease takes vm's word that it starts no request under a number below fence,
 // and which names its running ones still use.
-func (m *Machine) Released(vm coord.VMID, fence uint64, inUse []string) []Action {
+func (m *Machine) HandleRelease(vm coord.VMID, fence uint64, inUse []string) []Action {
 	h := m.holds[vm]
 	if m.phase != Serving || fence != m.fence || h == nil {
 		return nil
@@ -259,11 +259,11 @@
 	return m.setHolds()
 }
 
-// AskedToRelease takes another VM's claim under fence. It returns true when this
+// HandleReleaseRequest takes another VM's claim under fence. It returns true when this
 // VM starts no request under a number below fence from now on; the caller then
 // answers with the names that running requests use. Otherwise this VM takes
 // itself for the owner under a higher number, and gives no answer.
-func (m *Machine) AskedToRelease(now time.Time, fence uint64) (released bool, acts []Action) {
+func (m *Machine) HandleReleaseRequest(now time.Time, fence uint64) (released bool, acts []Action) {
 	m.floor = max(m.floor, fence)
 	active := m.phase == Reading || m.phase == Claiming || m.phase == Serving
 	if active && m.fence < fence {
@@ -277,22 +277,22 @@
 // maybe sent.
 func (m *Machine) MayStart() bool { return m.phase == Serving }
 
-// Started counts a request that is about to be sent.
-func (m *Machine) Started() { m.running++ }
+// RequestStarted counts a request that is about to be sent.
+func (m *Machine) RequestStarted() { m.running++ }
 
-// Ended counts a request that the target has let go of.
-func (m *Machine) Ended(now time.Time) {
+// RequestEnded counts a request that the target has let go of.
+func (m *Machine) RequestEnded(now time.Time) {
 	if m.running > 0 {
 		m.running--
 	}
 	m.settleDrain(now)
 }
 
-// BrokenOff counts a request whose connection was closed before its end: the target
-// lets go of it within coord.BrokenOffTime.
-func (m *Machine) BrokenOff(now time.Time) {
-	m.quietAt = now.Add(coord.BrokenOffTime)
-	m.Ended(now)
+// RequestAborted counts a request whose connection was closed before its end: the target
+// lets go of it within coord.AbortedRequestTime.
+func (m *Machine) RequestAborted(now time.Time) {
+	m.quietAt = now.Add(coord.AbortedRequestTime)
+	m.RequestEnded(now)
 }
 
 // Tick repeats steps that have had no answer.
@@ -310,7 +310,7 @@
 	case Reading:
 		return []Action{{Kind: ActRead}}
 	case Claiming:
-		return []Action{{Kind: ActClaim, Fence: m.fence}}
+		return []Action{{Kind: ActClaim, FencingToken: m.fence}}
 	case Serving:
 		return m.askReleases()
 	}
--- a/coord/ownership/ownership_test.go
+++ b/coord/ownership/ownership_test.go
@@ -15,9 +15,9 @@
 // serving returns a machine that serves; others may have owned the target.
 func serving(others ...coord.VMID) *ownership.Machine {
 	m := ownership.New("self", 1)
-	m.Want(now, true, others)
-	m.Read(now, ownership.Report{Fence: 9, Resident: []string{"a@1"}})
-	m.Claimed(now, m.Fence(), ownership.Report{Fence: m.Fence(), Resident: []string{"a@1"}})
+	m.SetDesired(now, true, others)
+	m.HandleReport(now, ownership.Report{FencingToken: 9, Resident: []string{"a@1"}})
+	m.HandleClaimAccepted(now, m.FencingToken(), ownership.Report{FencingToken: m.FencingToken(), Resident: []string{"a@1"}})
 	return m
 }
 
@@ -39,18 +39,20 @@
 		want []string
 	}{
 		{"nothing", func(m *ownership.Machine) []ownership.Action {
-			return m.Want(now, true, []coord.VMID{"self", "x", "y"})
+			return m.SetDesired(now, true, []coord.VMID{"self", "x", "y"})
 		}, []coord.VMID{"x", "y"}, true, nil},
-		{"one releases", func(m *ownership.Machine) []ownership.Action { return m.Released("x", m.Fence(), nil) }, []coord.VMID{"y"}, true, nil},
-		{"a release under another number", func(m *ownership.Machine) []ownership.Action { return m.Released("x", m.Fence()-1, nil) }, []coord.VMID{"x", "y"}, true, nil},
-		{"the list drops one", func(m *ownership.Machine) []ownership.Action { return m.Want(now, true, []coord.VMID{"self", "y"}) }, []coord.VMID{"y"}, true, nil},
+		{"one releases", func(m *ownership.Machine) []ownership.Action { return m.HandleRelease("x", m.FencingToken(), nil) }, []coord.VMID{"y"}, true, nil},
+		{"a release under another number", func(m *ownership.Machine) []ownership.Action { return m.HandleRelease("x", m.FencingToken()-1, nil) }, []coord.VMID{"x", "y"}, true, nil},
+		{"the list drops one", func(m *ownership.Machine) []ownership.Action {
+			return m.SetDesired(now, true, []coord.VMID{"self", "y"})
+		}, []coord.VMID{"y"}, true, nil},
 		{"both answer, one still uses a name", func(m *ownership.Machine) []ownership.Action {
-			m.Released("x", m.Fence(), nil)
-			return m.Released("y", m.Fence(), []string{"a@1"})
+			m.HandleRelease("x", m.FencingToken(), nil)
+			return m.HandleRelease("y", m.FencingToken(), []string{"a@1"})
 		}, []coord.VMID{"y"}, false, []string{"a@1"}},
 		{"all release", func(m *ownership.Machine) []ownership.Action {
-			m.Released("x", m.Fence(), nil)
-			return m.Released("y", m.Fence(), nil)
+			m.HandleRelease("x", m.FencingToken(), nil)
+			return m.HandleRelease("y", m.FencingToken(), nil)
 		}, []coord.VMID{}, false, nil},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -71,13 +73,13 @@
 // is over when the target is done with it.
 func TestDrainWaitsForRequestsBrokenOff(t *testing.T) {
 	m := serving("self")
-	m.Started()
-	m.Want(now, false, []coord.VMID{"self"})
-	m.BrokenOff(now)
+	m.RequestStarted()
+	m.SetDesired(now, false, []coord.VMID{"self"})
+	m.RequestAborted(now)
 	assert.Equal(t, m.Phase(), ownership.Draining)
-	m.Tick(now.Add(coord.BrokenOffTime-1), nil)
+	m.Tick(now.Add(coord.AbortedRequestTime-1), nil)
 	assert.Equal(t, m.Phase(), ownership.Draining)
-	m.Tick(now.Add(coord.BrokenOffTime), nil)
+	m.Tick(now.Add(coord.AbortedRequestTime), nil)
 	assert.Equal(t, m.Phase(), ownership.Idle)
 }
 
@@ -85,11 +87,11 @@
 // answers an ask of an earlier tenure must not count while a new one begins.
 func TestReleaseOfAnEarlierTenure(t *testing.T) {
 	m := serving("self", "x")
-	old := m.Fence()
-	m.Refused(now, old, old+1)
+	old := m.FencingToken()
+	m.HandleRejection(now, old, old+1)
 	m.Tick(now.Add(time.Minute), []coord.VMID{"self", "x"})
 	assert.Equal(t, m.Phase(), ownership.Reading)
-	m.Released("x", old, nil)
+	m.HandleRelease("x", old, nil)
 	assert.DeepEqual(t, m.Holds(), []coord.VMID{"x"})
 }
 
@@ -100,23 +102,27 @@
 		do   func(*ownership.Machine) []ownership.Action
 		want ownership.Phase
 	}{
-		{"the view names another", func(m *ownership.Machine) []ownership.Action { return m.Want(now, false, nil) }, ownership.Idle},
-		{"the target refuses the number", func(m *ownership.Machine) []ownership.Action { return m.Refused(now, m.Fence(), m.Fence()+1) }, ownership.Idle},
-		{"a refusal of an older number", func(m *ownership.Machine) []ownership.Action { return m.Refused(now, m.Fence()-1, m.Fence()) }, ownership.Serving},
-		{"the target restarts", func(m *ownership.Machine) []ownership.Action { return m.Rebooted(now) }, ownership.Idle},
+		{"the view names another", func(m *ownership.Machine) []ownership.Action { return m.SetDesired(now, false, nil) }, ownership.Idle},
+		{"the target refuses the number", func(m *ownership.Machine) []ownership.Action {
+			return m.HandleRejection(now, m.FencingToken(), m.FencingToken()+1)
+		}, ownership.Idle},
+		{"a refusal of an older number", func(m *ownership.Machine) []ownership.Action {
+			return m.HandleRejection(now, m.FencingToken()-1, m.FencingToken())
+		}, ownership.Serving},
+		{"the target restarts", func(m *ownership.Machine) []ownership.Action { return m.HandleRestart(now) }, ownership.Idle},
 		{"another VM claims under a higher number", func(m *ownership.Machine) []ownership.Action {
-			released, acts := m.AskedToRelease(now, m.Fence()+1)
+			released, acts := m.HandleReleaseRequest(now, m.FencingToken()+1)
 			assert.Assert(t, released)
 			return acts
 		}, ownership.Idle},
 		{"another VM claims under a lower number", func(m *ownership.Machine) []ownership.Action {
-			released, acts := m.AskedToRelease(now, m.Fence()-1)
+			released, acts := m.HandleReleaseRequest(now, m.FencingToken()-1)
 			assert.Assert(t, !released)
 			return acts
 		}, ownership.Serving},
 		{"the view names another while a request runs", func(m *ownership.Machine) []ownership.Action {
-			m.Started()
-			return m.Want(now, false, nil)
+			m.RequestStarted()
+			return m.SetDesired(now, false, nil)
 		}, ownership.Draining},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -141,11 +147,11 @@
 		m.Tick(at, []coord.VMID{"self"})
 		if m.Phase() == ownership.Reading {
 			tries++
-			m.Read(at, ownership.Report{})
-			m.Claimed(at, m.Fence(), ownership.Report{})
+			m.HandleReport(at, ownership.Report{})
+			m.HandleClaimAccepted(at, m.FencingToken(), ownership.Report{})
 		}
 		if m.MayStart() {
-			m.Refused(at, m.Fence(), m.Fence()+1)
+			m.HandleRejection(at, m.FencingToken(), m.FencingToken()+1)
 		}
 	}
 	assert.Assert(t, tries >= 5 && tries <= 15, "%d tries in a minute", tries)
@@ -154,9 +160,9 @@
 func TestFencesGrow(t *testing.T) {
 	seen := uint64(0)
 	for _, clock := range []time.Time{now, now.Add(-time.Hour), now} { // a clock that steps back
-		next := ownership.NextFence(clock, seen, 3)
+		next := ownership.NextFencingToken(clock, seen, 3)
 		assert.Assert(t, next > seen)
 		seen = next
 	}
-	assert.Assert(t, ownership.NextFence(now, 0, 1) != ownership.NextFence(now, 0, 2))
+	assert.Assert(t, ownership.NextFencingToken(now, 0, 1) != ownership.NextFencingToken(now, 0, 2))
 }
--- a/coord/ownership/types.go
+++ b/coord/ownership/types.go
@@ -47,8 +47,8 @@
 	ActRead ActionKind = iota + 1
 	// ActClaim orders the target under Fence.
 	ActClaim
-	// ActAskRelease asks VM whether it has let go of the target under Fence.
-	ActAskRelease
+	// ActRequestRelease asks VM whether it has let go of the target under Fence.
+	ActRequestRelease
 	// ActServe starts the dispatcher from Resident, all of it held. An
 	// ActSetHolds follows.
 	ActServe
@@ -61,18 +61,18 @@
 
 // Action is one thing to do. Which fields are set depends on Kind.
 type Action struct {
-	Kind     ActionKind
-	Fence    uint64
-	VM       coord.VMID
-	Resident []string
-	All      bool
-	Names    []string
+	Kind         ActionKind
+	FencingToken uint64
+	VM           coord.VMID
+	Resident     []string
+	All          bool
+	Names        []string
 }
 
 // Report is what a target tells of itself.
 type Report struct {
-	// Fence is the highest fencing number that the target has accepted; zero
+	// FencingToken is the highest fencing number that the target has accepted; zero
 	// when it keeps none.
-	Fence    uint64
-	Resident []string
+	FencingToken uint64
+	Resident     []string
 }
--- a/coord/placement/example_test.go
+++ b/coord/placement/example_test.go
@@ -10,12 +10,12 @@
 
 func ExampleScheduler() {
 	m := placement.NewMap([]placement.Target{
-		{ID: "llm-1", Base: "base-8b", Hall: "glostrup-hal", Batch: 8},
-		{ID: "llm-2", Base: "base-8b", Hall: "koege-hal", Batch: 8},
+		{ID: "llm-1", Base: "base-8b", Zone: "glostrup-hal", Batch: 8},
+		{ID: "llm-2", Base: "base-8b", Zone: "koege-hal", Batch: 8},
 	})
-	board := placement.NewBoard(placement.DefaultBoardConfig())
+	board := placement.NewLoadTracker(placement.DefaultLoadTrackerConfig())
 	q := placement.Query{
-		Key: rendezvous.Hash("plough-notes@v1"), Halls: m.HallMask([]string{"koege-hal"}),
+		Key: rendezvous.Hash("plough-notes@v1"), Zones: m.ZoneMask([]string{"koege-hal"}),
 		Spread: 1, Now: time.Unix(0, 0),
 	}
 	fmt.Println(placement.Default().Pick(m.Pool("base-8b"), board, &q).Target)
--- a/coord/placement/parts.go
+++ b/coord/placement/parts.go
@@ -1,13 +1,13 @@
 package placement
 
-// HallFilter keeps the targets in the halls that may serve the adapter.
-type HallFilter struct{}
+// ZoneFilter keeps the targets in the halls that may serve the adapter.
+type ZoneFilter struct{}
 
 // Name returns the filter's name.
-func (HallFilter) Name() string { return "hall" }
+func (ZoneFilter) Name() string { return "hall" }
 
 // Keep reports whether the target's hall is allowed.
-func (HallFilter) Keep(q *Query, t *Target, _ *Load) bool { return q.Halls&t.bit != 0 }
+func (ZoneFilter) Keep(q *Query, t *Target, _ *Load) bool { return q.Zones&t.bit != 0 }
 
 // LeavingFilter removes targets that the bundle or the target itself says are
 // leaving.
@@ -27,7 +27,7 @@
 
 // Keep reports whether the request has not tried the target.
 func (TriedFilter) Keep(q *Query, t *Target, _ *Load) bool {
-	for _, id := range q.Avoid {
+	for _, id := range q.Exclude {
 		if id == t.ID {
 			return false
 		}
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -25,7 +25,7 @@
 type Target struct {
 	ID    coord.TargetID
 	Base  string
-	Hall  string
+	Zone  string
 	Batch int
 	// Leaving targets get no new work.
 	Leaving bool
@@ -56,7 +56,7 @@
 	m := &Map{pools: map[string]*Pool{}, halls: map[string]uint64{}}
 	for _, t := range targets {
 		t.hash = rendezvous.Hash(string(t.ID))
-		t.bit = m.hallBit(t.Hall)
+		t.bit = m.hallBit(t.Zone)
 		p := m.pools[t.Base]
 		if p == nil {
 			p = &Pool{}
@@ -80,9 +80,9 @@
 // Pool returns the targets of a base model, or nil.
 func (m *Map) Pool(base string) *Pool { return m.pools[base] }
 
-// HallMask returns the set of the named halls, for a Query. No names means
+// ZoneMask returns the set of the named halls, for a Query. No names means
 // every hall.
-func (m *Map) HallMask(halls []string) uint64 {
+func (m *Map) ZoneMask(halls []string) uint64 {
 	if len(halls) == 0 {
 		return ^uint64(0)
 	}
@@ -97,13 +97,13 @@
 type Query struct {
 	// Key is the rendezvous hash of the adapter.
 	Key uint64
-	// Halls that may serve it, from HallMask.
-	Halls uint64
+	// Zones that may serve it, from HallMask.
+	Zones uint64
 	// Spread is over how many targets the adapter's requests are spread; at
 	// least 1.
 	Spread int
-	// Avoid are targets that this request has tried.
-	Avoid []coord.TargetID
+	// Exclude are targets that this request has tried.
+	Exclude []coord.TargetID
 	// Now is the time of the decision.
 	Now time.Time
 }
@@ -155,12 +155,12 @@
 }
 
 // Default returns the Scheduler that the daemon runs when load stalls weigh all.
-func Default() *Scheduler { return WithStep(stepForStalls) }
+func Default() *Scheduler { return WithAffinityStep(stepForStalls) }
 
-// WithStep returns the daemon's Scheduler with another step of affinity.
-func WithStep(step float64) *Scheduler {
+// WithAffinityStep returns the daemon's Scheduler with another step of affinity.
+func WithAffinityStep(step float64) *Scheduler {
 	return NewScheduler(
-		[]Filter{HallFilter{}, LeavingFilter{}, TriedFilter{}, EjectedFilter{}},
+		[]Filter{ZoneFilter{}, LeavingFilter{}, TriedFilter{}, EjectedFilter{}},
 		[]Weighted{
 			{Scorer: AffinityScorer{Step: step}, Weight: affinityWeight},
 			{Scorer: QueueScorer{}, Weight: queueWeight},
@@ -177,7 +177,7 @@
 
 // Pick returns the target for a query. It looks at the spread's targets first
 // and then at a few more in order of rendezvous weight.
-func (s *Scheduler) Pick(p *Pool, b *Board, q *Query) Choice {
+func (s *Scheduler) Pick(p *Pool, b *LoadTracker, q *Query) Choice {
 	var ranked [MaxSpread + fallbacks]int
 	want := min(max(q.Spread, 1), MaxSpread) + fallbacks
 	n := s.rank(p, b, q, ranked[:want])
@@ -195,11 +195,11 @@
 }
 
 // rank writes the indexes of the fit targets in order of rendezvous weight.
-func (s *Scheduler) rank(p *Pool, b *Board, q *Query, out []int) int {
+func (s *Scheduler) rank(p *Pool, b *LoadTracker, q *Query, out []int) int {
 	n := 0
 	floor := uint64(0)
 	for i, h := range p.hashes {
-		w := rendezvous.Mix(h, q.Key)
+		w := rendezvous.Weight(h, q.Key)
 		if n == len(out) && w <= floor {
 			continue
 		}
@@ -207,7 +207,7 @@
 			continue
 		}
 		n = place(p.hashes, q.Key, out, n, i, w)
-		floor = rendezvous.Mix(p.hashes[out[n-1]], q.Key)
+		floor = rendezvous.Weight(p.hashes[out[n-1]], q.Key)
 	}
 	return n
 }
@@ -219,7 +219,7 @@
 		n++
 	}
 	at := n - 1
-	for at > 0 && rendezvous.Mix(hashes[out[at-1]], key) < w {
+	for at > 0 && rendezvous.Weight(hashes[out[at-1]], key) < w {
 		out[at] = out[at-1]
 		at--
 	}
@@ -254,7 +254,7 @@
 }
 
 // Explain rates every target of a pool for a query.
-func (s *Scheduler) Explain(p *Pool, b *Board, q *Query) []Reason {
+func (s *Scheduler) Explain(p *Pool, b *LoadTracker, q *Query) []Reason {
 	var ranked [MaxSpread + fallbacks]int
 	want := min(max(q.Spread, 1), MaxSpread) + fallbacks
 	n := s.rank(p, b, q, ranked[:want])
@@ -269,7 +269,7 @@
 	return out
 }
 
-func (s *Scheduler) reason(p *Pool, b *Board, q *Query, i int, place map[int]int) Reason {
+func (s *Scheduler) reason(p *Pool, b *LoadTracker, q *Query, i int, place map[int]int) Reason {
 	t := &p.Targets[i]
 	l := b.load(t.ID)
 	r := Reason{Target: t.ID, Rank: -1}
--- a/coord/placement/spread.go
+++ b/coord/placement/spread.go
@@ -4,9 +4,9 @@
 
 // SpreadConfig holds the settings of a Spread.
 type SpreadConfig struct {
-	// GrowAt is the share of a target's batch that one adapter must fill there
+	// GrowThreshold is the share of a target's batch that one adapter must fill there
 	// before it is spread over twice as many targets.
-	GrowAt float64
+	GrowThreshold float64
 	// ShrinkAfter is how long an adapter must stay below half of GrowAt before
 	// its spread is halved.
 	ShrinkAfter time.Duration
@@ -15,7 +15,7 @@
 // DefaultSpreadConfig returns the settings that the daemon runs with when load
 // stalls weigh all.
 func DefaultSpreadConfig() SpreadConfig {
-	return SpreadConfig{GrowAt: 1, ShrinkAfter: 20 * time.Second}
+	return SpreadConfig{GrowThreshold: 1, ShrinkAfter: 20 * time.Second}
 }
 
 // Spread decides over how many targets each adapter is spread. Only adapters
@@ -51,21 +51,21 @@
 // before a step took effect do not cause the next.
 const growPause = 500 * time.Millisecond
 
-// Heard takes an owner's word that same requests of the adapter run or wait at
+// ObserveLoad takes an owner's word that same requests of the adapter run or wait at
 // a target whose batch is batch.
-func (s *Spread) Heard(now time.Time, key uint64, same, batch int) {
+func (s *Spread) ObserveLoad(now time.Time, key uint64, same, batch int) {
 	share := float64(same) / float64(max(batch, 1))
 	h := s.hot[key]
 	if h == nil {
-		if share >= s.cfg.GrowAt {
+		if share >= s.cfg.GrowThreshold {
 			s.hot[key] = &hotAdapter{width: 2, lastBusy: now, changed: now}
 		}
 		return
 	}
-	if share >= s.cfg.GrowAt/2 {
+	if share >= s.cfg.GrowThreshold/2 {
 		h.lastBusy = now
 	}
-	if share >= s.cfg.GrowAt && now.Sub(h.changed) >= growPause {
+	if share >= s.cfg.GrowThreshold && now.Sub(h.changed) >= growPause {
 		h.width = min(h.width*2, MaxSpread)
 		h.changed = now
 	}
--- a/coord/placement/weights.go
+++ b/coord/placement/weights.go
@@ -19,6 +19,6 @@
 		share = batchEfficiency / sum
 	}
 	cfg := DefaultSpreadConfig()
-	cfg.GrowAt = growForStalls + share*(growForBatches-growForStalls)
-	return cfg, WithStep(stepForStalls + share*(stepForBatches-stepForStalls))
+	cfg.GrowThreshold = growForStalls + share*(growForBatches-growForStalls)
+	return cfg, WithAffinityStep(stepForStalls + share*(stepForBatches-stepForStalls))
 }
--- a/coord/quarantine/findings.go
+++ b/coord/quarantine/findings.go
@@ -12,18 +12,18 @@
 	Targets []string
 	// Since is when the first target ended, Held for how long it is held from now on; 0: it
 	// is suspect.
-	Since time.Time
-	Held  time.Duration
+	Since      time.Time
+	BlockedFor time.Duration
 }
 
 func (t *Table) finding(now time.Time, d Digest) Finding {
 	c := t.contents[d]
-	return Finding{Digest: d, Targets: c.targets, Since: c.since, Held: max(c.heldUntil.Sub(now), 0)}
+	return Finding{Digest: d, Targets: c.targets, Since: c.since, BlockedFor: max(c.heldUntil.Sub(now), 0)}
 }
 
-// Learn takes what another VM found. What is held there is held here for as long; what is not any
+// Merge takes what another VM found. What is held there is held here for as long; what is not any
 // more may be tried here as well.
-func (t *Table) Learn(now time.Time, f Finding) {
+func (t *Table) Merge(now time.Time, f Finding) {
 	var held time.Time
 	if c := t.contents[f.Digest]; c != nil {
 		held = c.heldUntil
@@ -34,8 +34,8 @@
 	c := t.contents[f.Digest]
 	switch {
 	case c == nil:
-	case f.Held > 0:
-		c.heldUntil = coord.Later(held, now.Add(f.Held))
+	case f.BlockedFor > 0:
+		c.heldUntil = coord.Later(held, now.Add(f.BlockedFor))
 	case held.IsZero() && len(c.targets) >= heldAfter:
 		c.heldUntil = now
 	default:
--- a/coord/quarantine/quarantine.go
+++ b/coord/quarantine/quarantine.go
@@ -77,8 +77,8 @@
 
 // Reasons of refusals.
 const (
-	// ReasonHeld: targets ended under this content.
-	ReasonHeld = "content_held"
+	// ReasonBlocked: targets ended under this content.
+	ReasonBlocked = "content_held"
 	// ReasonSuspect: a target ended under this content, and another such request runs.
 	ReasonSuspect = "content_suspect"
 )
@@ -140,7 +140,7 @@
 		return "", 0
 	}
 	if left := c.heldUntil.Sub(now); left > 0 {
-		return ReasonHeld, left
+		return ReasonBlocked, left
 	}
 	unsettled := t.unsettled(d)
 	if t.running[d] > 0 || unsettled > 0 && len(c.targets)+unsettled >= heldAfter {
@@ -172,9 +172,9 @@
 	return n
 }
 
-// Avoid lists the targets where suspects run: a suspect that ran beside another one would
+// TargetsToAvoid lists the targets where suspects run: a suspect that ran beside another one would
 // share its guilt.
-func (t *Table) Avoid(d Digest) (targets []string) {
+func (t *Table) TargetsToAvoid(d Digest) (targets []string) {
 	if t.suspect(d) == nil {
 		return nil
 	}
@@ -186,21 +186,21 @@
 	return targets
 }
 
-// Alone is Check for a VM that nobody gives verdicts: it cannot know of other requests of
+// CheckWithoutLeader is Check for a VM that nobody gives verdicts: it cannot know of other requests of
 // suspect content, so none may run.
-func (t *Table) Alone(now time.Time, d Digest) (reason string, retry time.Duration) {
+func (t *Table) CheckWithoutLeader(now time.Time, d Digest) (reason string, retry time.Duration) {
 	c := t.suspect(d)
 	switch {
 	case c == nil:
 		return "", 0
 	case c.heldUntil.After(now):
-		return ReasonHeld, c.heldUntil.Sub(now)
+		return ReasonBlocked, c.heldUntil.Sub(now)
 	}
 	return ReasonSuspect, pause
 }
 
-// Began takes that a request is sent to a target, with its deadline.
-func (t *Table) Began(now time.Time, key Key, d Digest, target string, until time.Time) {
+// RequestStarted takes that a request is sent to a target, with its deadline.
+func (t *Table) RequestStarted(now time.Time, key Key, d Digest, target string, until time.Time) {
 	if _, told := t.runs[key]; told || d == (Digest{}) {
 		return
 	}
@@ -209,9 +209,9 @@
 	t.running[d]++
 }
 
-// Ended takes the end of a request: whether it was answered well, or broke off with its
+// RequestEnded takes the end of a request: whether it was answered well, or broke off with its
 // connection. Any other end says nothing.
-func (t *Table) Ended(now time.Time, key Key, well, broke bool) {
+func (t *Table) RequestEnded(now time.Time, key Key, well, broke bool) {
 	r, known := t.runs[key]
 	if !known {
 		t.freeTrial(key)
@@ -262,8 +262,8 @@
 	}
 }
 
-// Drop forgets what a VM ran that is silent.
-func (t *Table) Drop(vm coord.VMID, before uint64) {
+// ForgetVM forgets what a VM ran that is silent.
+func (t *Table) ForgetVM(vm coord.VMID, before uint64) {
 	for key, r := range t.runs {
 		if key.VM == vm && key.Ticket < before {
 			t.forget(key, r)
--- a/coord/quarantine/quarantine_test.go
+++ b/coord/quarantine/quarantine_test.go
@@ -32,14 +32,14 @@
 	if reason, _ := t.Check(now, key(k), digest(content)); reason != "" {
 		return false
 	}
-	t.Began(now, key(k), digest(content), target, now.Add(deadline))
+	t.RequestStarted(now, key(k), digest(content), target, now.Add(deadline))
 	return true
 }
 
 // crash ends a target: what runs there breaks off.
 func crash(t *Table, now time.Time, keys ...int) []Finding {
 	for _, k := range keys {
-		t.Ended(now, key(k), false, true)
+		t.RequestEnded(now, key(k), false, true)
 	}
 	return t.Tick(now.Add(settleTime))
 }
@@ -60,22 +60,22 @@
 	assert.Equal(t, len(found), 11, "all are suspect")
 	for k := 2; k < 12; k++ { // the innocent come back and run well
 		assert.Assert(t, begin(table, at(500), 20+k, k, "b"))
-		table.Ended(at(600), key(20+k), true, false)
+		table.RequestEnded(at(600), key(20+k), true, false)
 	}
 	assert.Assert(t, begin(table, at(700), 50, 0, "b"), "one may try")
 	assert.Assert(t, !begin(table, at(710), 51, 0, "c"), "not two at once")
 	found = crash(table, at(800), 50)
 	assert.Equal(t, len(found), 1)
-	assert.Equal(t, found[0].Held, holdTime)
+	assert.Equal(t, found[0].BlockedFor, holdTime)
 	reason, retry := table.Check(at(1200), key(60), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, reason, ReasonBlocked)
 	assert.Assert(t, retry > 9*time.Minute)
 	later := at(1200).Add(holdTime)
 	assert.Assert(t, begin(table, later, 61, 0, "d"), "one may try again")
 	assert.Assert(t, !begin(table, later, 62, 0, "e"))
 	crash(table, later.Add(time.Second), 61)
 	reason, _ = table.Check(later.Add(12*time.Hour), key(63), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, reason, ReasonBlocked)
 }
 
 // TestBrokenStreamGoesOn: our own next attempt for a stream that broke off comes before it is
@@ -85,12 +85,12 @@
 	table := New()
 	begin(table, at(0), 1, 0, "a")
 	begin(table, at(0), 2, 1, "a")
-	table.Ended(at(10), key(1), false, true)
+	table.RequestEnded(at(10), key(1), false, true)
 	assert.Assert(t, begin(table, at(11), 3, 0, "b"))
-	table.Ended(at(12), key(2), false, true)
+	table.RequestEnded(at(12), key(2), false, true)
 	assert.Assert(t, !begin(table, at(13), 4, 0, "c"), "one at a time")
 	table.Tick(at(400))
-	table.Ended(at(500), key(3), true, false)
+	table.RequestEnded(at(500), key(3), true, false)
 	assert.Assert(t, begin(table, at(510), 5, 0, "c"))
 	assert.Assert(t, begin(table, at(510), 6, 0, "c"), "it ended well")
 }
@@ -105,23 +105,23 @@
 			for k := range 4 {
 				begin(table, at(0), k, k, "a")
 			}
-			table.Ended(at(10), key(0), false, true)
+			table.RequestEnded(at(10), key(0), false, true)
 			table.Tick(at(10).Add(settleTime))
 		}},
 		{"it ended well before", func(table *Table) {
 			begin(table, at(0), 1, 0, "a")
-			table.Ended(at(5), key(1), true, false)
+			table.RequestEnded(at(5), key(1), true, false)
 			begin(table, at(10), 2, 0, "a")
 			crash(table, at(20), 2)
 		}},
 		{"many targets end at once under content that ended well", func(table *Table) {
 			begin(table, at(0), 1, 0, "a")
-			table.Ended(at(5), key(1), true, false)
+			table.RequestEnded(at(5), key(1), true, false)
 			for k := 2; k < 8; k++ {
 				begin(table, at(10), k, 0, fmt.Sprint(k))
 			}
 			for k := 2; k < 8; k++ {
-				table.Ended(at(10*k), key(k), false, true)
+				table.RequestEnded(at(10*k), key(k), false, true)
 				table.Tick(at(10 * k))
 			}
 			for ms := 100; ms < 1000; ms += 20 {
@@ -130,7 +130,7 @@
 		}},
 		{"a target drops what runs there, again and again, under content that ended well", func(table *Table) {
 			begin(table, at(0), 1, 0, "a")
-			table.Ended(at(5), key(1), true, false)
+			table.RequestEnded(at(5), key(1), true, false)
 			for k := 2; k < 12; k++ {
 				begin(table, at(1000*k), k, 0, "a")
 				crash(table, at(1000*k+10), k)
@@ -139,24 +139,24 @@
 		{"a target ends under content that ended well before and after", func(table *Table) {
 			for k := range 10 {
 				begin(table, at(1000*k), 2*k, 0, "a")
-				table.Ended(at(1000*k+5), key(2*k), true, false)
+				table.RequestEnded(at(1000*k+5), key(2*k), true, false)
 				begin(table, at(1000*k+10), 2*k+1, 0, "b")
 				crash(table, at(1000*k+20), 2*k+1)
 			}
 		}},
 		{"the caller left", func(table *Table) {
 			begin(table, at(0), 1, 0, "a")
-			table.Ended(at(5), key(1), false, false)
+			table.RequestEnded(at(5), key(1), false, false)
 			table.Tick(at(500))
 		}},
 		{"its VM is silent", func(table *Table) {
 			begin(table, at(0), 1, 0, "a")
-			table.Drop("vm", 100)
-			table.Ended(at(5), key(1), false, true)
+			table.ForgetVM("vm", 100)
+			table.RequestEnded(at(5), key(1), false, true)
 			table.Tick(at(500))
 		}},
 		{"a request without a digest", func(table *Table) {
-			table.Began(at(0), key(1), Digest{}, "a", at(1000))
+			table.RequestStarted(at(0), key(1), Digest{}, "a", at(1000))
 			crash(table, at(5), 1)
 		}},
 	} {
@@ -175,9 +175,9 @@
 	crash(table, at(10), 1)
 	assert.Assert(t, begin(table, at(500), 2, 0, "b"))
 	assert.Assert(t, !begin(table, at(1000), 3, 0, "c"))
-	table.Drop("vm", 3)
+	table.ForgetVM("vm", 3)
 	assert.Assert(t, begin(table, at(1100), 4, 0, "c"))
-	table.Drop("vm", 5)
+	table.ForgetVM("vm", 5)
 	assert.Assert(t, begin(table, at(1200), 5, 0, "d"))
 }
 
@@ -187,19 +187,19 @@
 	table, next := New(), New()
 	begin(table, at(0), 1, 0, "a")
 	for _, f := range crash(table, at(10), 1) {
-		next.Learn(at(500), f)
-		next.Learn(at(510), f)
+		next.Merge(at(500), f)
+		next.Merge(at(510), f)
 	}
-	reason, _ := next.Alone(at(600), digest(0))
+	reason, _ := next.CheckWithoutLeader(at(600), digest(0))
 	assert.Equal(t, reason, ReasonSuspect)
-	reason, _ = next.Alone(at(600), digest(1))
+	reason, _ = next.CheckWithoutLeader(at(600), digest(1))
 	assert.Equal(t, reason, "")
 	assert.Assert(t, begin(next, at(600), 2, 0, "b"))
 	found := crash(next, at(700), 2)
-	assert.Equal(t, found[0].Held, holdTime, "the second end")
-	table.Learn(at(1100), found[0])
-	reason, _ = table.Alone(at(1100), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, found[0].BlockedFor, holdTime, "the second end")
+	table.Merge(at(1100), found[0])
+	reason, _ = table.CheckWithoutLeader(at(1100), digest(0))
+	assert.Equal(t, reason, ReasonBlocked)
 }
 
 // TestRunThatIsToldTwice: a VM tells again what it runs whenever another one decides.
@@ -208,8 +208,8 @@
 	begin(table, at(0), 1, 0, "a")
 	crash(table, at(10), 1)
 	begin(table, at(500), 2, 0, "b")
-	table.Began(at(600), key(2), digest(0), "b", at(5000))
-	table.Ended(at(700), key(2), false, false)
+	table.RequestStarted(at(600), key(2), digest(0), "b", at(5000))
+	table.RequestEnded(at(700), key(2), false, false)
 	assert.Assert(t, begin(table, at(800), 3, 0, "b"), "nothing runs")
 }
 
@@ -228,20 +228,20 @@
 // TestHeldContentIsNeverTriedAgain after three ends, here or where another VM told of them.
 func TestHeldContentIsNeverTriedAgain(t *testing.T) {
 	table := New()
-	three := Finding{Digest: digest(0), Targets: []string{"a", "b", "c"}, Held: holdTime}
-	table.Learn(at(0), three)
+	three := Finding{Digest: digest(0), Targets: []string{"a", "b", "c"}, BlockedFor: holdTime}
+	table.Merge(at(0), three)
 	reason, _ := table.Check(at(1000), key(1), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, reason, ReasonBlocked)
 	after := at(1000).Add(holdTime)
 	assert.Assert(t, begin(table, after, 1, 0, "d"))
 	assert.Assert(t, !begin(table, after, 2, 0, "e"), "one at a time")
 	late := New()
-	three.Held = 0
-	late.Learn(at(0), three)
+	three.BlockedFor = 0
+	late.Merge(at(0), three)
 	assert.Assert(t, begin(late, at(1000), 1, 0, "d"), "its hold is over")
 	crash(late, at(1100), 1)
 	reason, retry := late.Check(at(2000), key(2), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, reason, ReasonBlocked)
 	assert.Assert(t, retry > 12*time.Hour)
 }
 
@@ -257,7 +257,7 @@
 func TestContentThatRanWellBeginsToCrash(t *testing.T) {
 	table := New()
 	begin(table, at(0), 1, 0, "a")
-	table.Ended(at(5), key(1), true, false)
+	table.RequestEnded(at(5), key(1), true, false)
 	ends := 0
 	for k := 2; k < 12; k++ {
 		if begin(table, at(1000*k), k, 0, fmt.Sprint(k)) {
@@ -267,14 +267,14 @@
 	}
 	assert.Equal(t, ends, heldAfter)
 	reason, _ := table.Check(at(12_000), key(20), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, reason, ReasonBlocked)
 }
 
 // TestContentThatRanWellIsBlamedForAnother that ran beside it at each end.
 func TestContentThatRanWellIsBlamedForAnother(t *testing.T) {
 	table := New()
 	begin(table, at(0), 1, 1, "a")
-	table.Ended(at(5), key(1), true, false)
+	table.RequestEnded(at(5), key(1), true, false)
 	for k := range 4 {
 		target, now := fmt.Sprint(k), at(1000*(k+1))
 		crashing := begin(table, now, 10+2*k, 0, target)
@@ -284,7 +284,7 @@
 		}
 	}
 	reason, _ := table.Check(at(9000), key(30), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, reason, ReasonBlocked)
 	assert.Assert(t, begin(table, at(9000), 31, 1, "b"))
 	assert.Assert(t, begin(table, at(9000), 32, 1, "c"), "not one at a time")
 }
@@ -293,20 +293,20 @@
 func TestContentThatRanWellIsHeldForLong(t *testing.T) {
 	table := New()
 	begin(table, at(0), 1, 0, "a")
-	table.Ended(at(5), key(1), true, false)
+	table.RequestEnded(at(5), key(1), true, false)
 	for k := 2; k < 5; k++ {
 		assert.Assert(t, begin(table, at(1000*k), k, 0, fmt.Sprint(k)))
 		crash(table, at(1000*k+100), k)
 	}
 	reason, retry := table.Check(at(5000), key(6), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, reason, ReasonBlocked)
 	assert.Assert(t, retry <= probation)
 	again := at(5000).Add(probation)
 	assert.Assert(t, begin(table, again, 7, 0, "b"), "one may try")
 	assert.Assert(t, !begin(table, again, 8, 0, "b"))
 	crash(table, again.Add(100*time.Millisecond), 7)
 	reason, retry = table.Check(again.Add(time.Second), key(9), digest(0))
-	assert.Equal(t, reason, ReasonHeld)
+	assert.Equal(t, reason, ReasonBlocked)
 	assert.Assert(t, retry > 12*time.Hour)
 }
 
@@ -314,7 +314,7 @@
 func TestContentAfterAFloodOfSuspects(t *testing.T) {
 	table := New()
 	for n := range maxContents {
-		table.Learn(at(n), Finding{Digest: digest(1000 + n), Targets: []string{"gone"}})
+		table.Merge(at(n), Finding{Digest: digest(1000 + n), Targets: []string{"gone"}})
 	}
 	ends := 0
 	for k := range 10 {
@@ -359,7 +359,7 @@
 				}
 			}
 			for _, k := range keys {
-				table.Ended(now, key(k), false, true)
+				table.RequestEnded(now, key(k), false, true)
 			}
 			delete(running, names[i])
 			target++
@@ -379,7 +379,7 @@
 						kills = true
 						rest = append(rest, r)
 					default:
-						table.Ended(now, key(r.k), true, false)
+						table.RequestEnded(now, key(r.k), true, false)
 					}
 				}
 				running[name] = rest
@@ -397,7 +397,7 @@
 					content = 500 + rng.IntN(20) // asked for again and again
 				}
 				i := rng.IntN(len(names))
-				for slices.Contains(table.Avoid(digest(content)), names[i]) {
+				for slices.Contains(table.TargetsToAvoid(digest(content)), names[i]) {
 					i = (i + 1) % len(names)
 				}
 				if begin(table, now, next, content, names[i]) {
@@ -407,11 +407,11 @@
 			if ms == 20_000 { // another VM decides from now on; it was told what was found
 				other := New()
 				for _, f := range table.Findings(now) {
-					other.Learn(now, f)
+					other.Merge(now, f)
 				}
 				for name, rs := range running {
 					for _, r := range rs {
-						other.Began(now, key(r.k), digest(r.content), name, now.Add(deadline))
+						other.RequestStarted(now, key(r.k), digest(r.content), name, now.Add(deadline))
 					}
 				}
 				table = other
@@ -422,7 +422,7 @@
 		}
 		for _, f := range table.Findings(at(60_000)) {
 			n := int(binary.BigEndian.Uint64(f.Digest[:])) - 1
-			assert.Assert(t, f.Held == 0 || n < guilty, "seed %d: innocent %d is held", seed, n)
+			assert.Assert(t, f.BlockedFor == 0 || n < guilty, "seed %d: innocent %d is held", seed, n)
 		}
 	}
 }
@@ -431,7 +431,7 @@
 func BenchmarkTick(b *testing.B) {
 	table := New()
 	for n := range 20_000 {
-		table.Began(start, key(n), digest(n), "t", start.Add(time.Hour))
+		table.RequestStarted(start, key(n), digest(n), "t", start.Add(time.Hour))
 	}
 	for n := 0; b.Loop(); n++ {
 		table.Tick(at(20 * n))
@@ -441,14 +441,14 @@
 func BenchmarkCheck(b *testing.B) {
 	table := New()
 	for n := range 200 {
-		table.Learn(start, Finding{Digest: digest(n), Targets: []string{"a"}})
+		table.Merge(start, Finding{Digest: digest(n), Targets: []string{"a"}})
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		d := digest(1000 + n%5000)
 		table.Check(start, key(n), d)
-		table.Began(start, key(n), d, "t", start.Add(deadline))
-		table.Ended(start, key(n), true, false)
+		table.RequestStarted(start, key(n), d, "t", start.Add(deadline))
+		table.RequestEnded(start, key(n), true, false)
 	}
 	_ = coord.VMID("")
 }
--- a/coord/quota/accounts.go
+++ b/coord/quota/accounts.go
@@ -4,7 +4,7 @@
 
 // accounts are buckets of all teams with a limit.
 type accounts struct {
-	room   Room
+	room   Tolerance
 	limits map[string]Limit
 	teams  map[string]*bucket
 	// terms are how fast the bucket of a team with a limit fills, in units a second, and what
@@ -12,7 +12,7 @@
 	terms func(limit Limit) (rate, holds float64)
 }
 
-func newAccounts(room Room) accounts {
+func newAccounts(room Tolerance) accounts {
 	return accounts{room: room, teams: map[string]*bucket{}}
 }
 
--- a/coord/quota/fleet_test.go
+++ b/coord/quota/fleet_test.go
@@ -14,7 +14,7 @@
 // runs is taken down by an account of its own.
 type fleet struct {
 	rng   *rand.Rand
-	room  Room
+	room  Tolerance
 	limit Limit
 	vms   []*modelVM
 	now   time.Time
@@ -62,7 +62,7 @@
 	quietTime   = 300 * time.Millisecond
 )
 
-func newFleet(seed uint64, vms int, room Room, limit Limit, way string) *fleet {
+func newFleet(seed uint64, vms int, room Tolerance, limit Limit, way string) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 7)), room: room, limit: limit, now: start, way: way,
 		part: make([]int, vms), frozen: make([]time.Time, vms), whole: bucket{at: start, rate: room.perSecond(limit), cap: room.ledgerHolds(limit)},
@@ -113,11 +113,11 @@
 			}
 		}
 		f.findHolder(a, v, live, size)
-		v.ledger.SetShare(f.now, float64(live)/float64(size))
+		v.ledger.SetFleetShare(f.now, float64(live)/float64(size))
 		if f.now.Sub(v.born) > 300*time.Millisecond {
-			v.reserve.SetFleet(f.now, size, suspectTime)
+			v.reserve.SetFleetSize(f.now, size, suspectTime)
 		}
-		v.reserve.SetAlone(f.now, v.asks < 0 || f.now.Sub(v.lost) > quietTime)
+		v.reserve.SetDisconnected(f.now, v.asks < 0 || f.now.Sub(v.lost) > quietTime)
 	}
 }
 
@@ -175,10 +175,10 @@
 	}
 	if v.asks >= 0 && (v.asks == n || f.reaches(n, v.asks)) && f.vms[v.asks].asks == v.asks {
 		f.messages += 2
-		ok, _ := f.vms[v.asks].ledger.Take(f.now, "crew", cost)
+		ok, _ := f.vms[v.asks].ledger.Charge(f.now, "crew", cost)
 		return ok
 	}
-	return v.reserve.Take(f.now, "crew", cost, f.rng.Float64())
+	return v.reserve.Charge(f.now, "crew", cost, f.rng.Float64())
 }
 
 // takeWhole takes a request if any of it is there, in debt for the rest.
@@ -240,7 +240,7 @@
 // worst is the most that ran in any window, as a part of what the rule allows.
 func (f *fleet) worst() float64 {
 	slices.SortFunc(f.ran, func(a, b run) int { return a.at.Compare(b.at) })
-	allowed := f.room.perWindow(f.limit)*(1+f.room.Over) + f.room.Slack
+	allowed := f.room.perWindow(f.limit)*(1+f.room.ExcessRatio) + f.room.Slack
 	sum, worst, first := 0.0, 0.0, 0
 	for _, r := range f.ran {
 		sum += r.cost
@@ -319,14 +319,14 @@
 // The evidence: with them, windows of up to 1.15 times what is allowed at 0 over.
 func TestRoomsOfAnySize(t *testing.T) {
 	limit := Limit{PerSecond: 400_000, Burst: 400_000}
-	for _, r := range []Room{
-		{Window: 8 * time.Second, Over: 0, Slack: 20_000},
-		{Window: 8 * time.Second, Over: 0.05, Slack: 20_000},
-		{Window: 8 * time.Second, Over: 0.12, Slack: 20_000},
-		{Window: 8 * time.Second, Over: 1, Slack: 20_000},
-		{Window: 6 * time.Second, Over: 0.05, Slack: 20_000},
-		{Window: 3 * time.Second, Over: 0.25, Slack: 20_000},
-		{Window: 20 * time.Second, Over: 0.05, Slack: 20_000},
+	for _, r := range []Tolerance{
+		{Window: 8 * time.Second, ExcessRatio: 0, Slack: 20_000},
+		{Window: 8 * time.Second, ExcessRatio: 0.05, Slack: 20_000},
+		{Window: 8 * time.Second, ExcessRatio: 0.12, Slack: 20_000},
+		{Window: 8 * time.Second, ExcessRatio: 1, Slack: 20_000},
+		{Window: 6 * time.Second, ExcessRatio: 0.05, Slack: 20_000},
+		{Window: 3 * time.Second, ExcessRatio: 0.25, Slack: 20_000},
+		{Window: 20 * time.Second, ExcessRatio: 0.05, Slack: 20_000},
 	} {
 		worst := 0.0
 		for seed := range uint64(12) {
--- a/coord/quota/quota.go
+++ b/coord/quota/quota.go
@@ -49,11 +49,11 @@
 	PerSecond, Burst float64
 }
 
-// Room is what the deployment allows beyond a limit.
-type Room struct {
+// Tolerance is what the deployment allows beyond a limit.
+type Tolerance struct {
 	Window time.Duration
-	// Over is a part of the limit, Slack so many units on top.
-	Over, Slack float64
+	// ExcessRatio is a part of the limit, Slack so many units on top.
+	ExcessRatio, Slack float64
 }
 
 // How a room is shared out.
@@ -88,34 +88,36 @@
 	late float64
 }
 
-func (r Room) parts() parts {
-	spare := max(r.Over+keptBack, leastSpare)
+func (r Tolerance) parts() parts {
+	spare := max(r.ExcessRatio+keptBack, leastSpare)
 	return parts{
-		fill:   1 + r.Over - spare,
+		fill:   1 + r.ExcessRatio - spare,
 		ledger: ledgerOfSpare * spare, reserves: reserveOfSpare * spare,
 		cutover: cutoverOfSpare * spare, late: min(lateOfSpare*spare, 1),
 	}
 }
 
 // perWindow is what a team may run in a window, in units.
-func (r Room) perWindow(l Limit) float64 { return l.PerSecond*r.Window.Seconds() + l.Burst }
+func (r Tolerance) perWindow(l Limit) float64 { return l.PerSecond*r.Window.Seconds() + l.Burst }
 
 // perSecond is how fast an account of the whole fleet fills.
-func (r Room) perSecond(l Limit) float64 { return r.parts().fill * r.perWindow(l) / r.Window.Seconds() }
+func (r Tolerance) perSecond(l Limit) float64 {
+	return r.parts().fill * r.perWindow(l) / r.Window.Seconds()
+}
 
 // ledgerHolds is what a team may run at once by the ledger, and reservesHold what it may by all
 // reserves together.
-func (r Room) ledgerHolds(l Limit) float64 {
+func (r Tolerance) ledgerHolds(l Limit) float64 {
 	return r.parts().ledger*r.perWindow(l) + ledgerSlack*r.Slack
 }
 
-func (r Room) reservesHold(l Limit) float64 {
+func (r Tolerance) reservesHold(l Limit) float64 {
 	return r.parts().reserves*r.perWindow(l) + reserveSlack*r.Slack
 }
 
 // beforeNoticed is the part of its share that a VM may use while the ledger has not noticed yet
 // that it is silent, which takes it the given time.
-func (r Room) beforeNoticed(noticed time.Duration) float64 {
+func (r Tolerance) beforeNoticed(noticed time.Duration) float64 {
 	p := r.parts()
 	twice := p.fill * cutPart * min(noticed.Seconds()/r.Window.Seconds(), 1)
 	return min(p.cutover/max(twice, p.cutover), 1)
@@ -155,14 +157,14 @@
 }
 
 // NewLedger returns a ledger in which each team begins with nothing.
-func NewLedger(room Room) *Ledger {
+func NewLedger(room Tolerance) *Ledger {
 	l := &Ledger{accounts: newAccounts(room), share: 1}
 	l.accounts.terms = l.terms
 	return l
 }
 
-// SetShare says which part of the fleet the ledger hears.
-func (l *Ledger) SetShare(now time.Time, share float64) {
+// SetFleetShare says which part of the fleet the ledger hears.
+func (l *Ledger) SetFleetShare(now time.Time, share float64) {
 	if share == l.share {
 		return
 	}
@@ -174,10 +176,10 @@
 	return l.share * l.room.perSecond(limit), l.room.ledgerHolds(limit)
 }
 
-// Take charges a request of a team. A team with anything left may take a request that costs
+// Charge charges a request of a team. A team with anything left may take a request that costs
 // more: the account is in debt then by less than one request. If it may not, wait is when
 // the units are there for this request, those promised to others before it counted in.
-func (l *Ledger) Take(now time.Time, team string, cost float64) (ok bool, wait time.Duration) {
+func (l *Ledger) Charge(now time.Time, team string, cost float64) (ok bool, wait time.Duration) {
 	b := l.teams[team]
 	if b == nil {
 		return true, 0
@@ -204,16 +206,16 @@
 	maxWait = 5 * time.Second
 )
 
-// Withdraw ends what Take promised to a request that was refused.
-func (l *Ledger) Withdraw(now time.Time, team string, cost float64) {
+// CancelPromise ends what Take promised to a request that was refused.
+func (l *Ledger) CancelPromise(now time.Time, team string, cost float64) {
 	if b := l.teams[team]; b != nil {
 		b.fill(now)
 		b.promised = max(b.promised-cost, 0)
 	}
 }
 
-// Return gives back what a request was charged that did not run.
-func (l *Ledger) Return(now time.Time, team string, cost float64) {
+// Refund gives back what a request was charged that did not run.
+func (l *Ledger) Refund(now time.Time, team string, cost float64) {
 	if b := l.teams[team]; b != nil {
 		b.fill(now)
 		b.tokens = min(b.tokens+cost, b.cap)
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -12,7 +12,7 @@
 var start = time.Unix(1_000_000, 0)
 
 // room is that of the users' deployment.
-var room = Room{Window: 8 * time.Second, Over: 0.25, Slack: 11_000}
+var room = Tolerance{Window: 8 * time.Second, ExcessRatio: 0.25, Slack: 11_000}
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
@@ -23,15 +23,15 @@
 func TestLedger(t *testing.T) {
 	l := NewLedger(room)
 	l.SetLimits(start, limits(10_000))
-	ok, wait := l.Take(start, "crew", 1600)
+	ok, wait := l.Charge(start, "crew", 1600)
 	assert.Assert(t, !ok && wait > 0, "a new ledger is empty")
-	ok, _ = l.Take(at(wait), "crew", 1600)
+	ok, _ = l.Charge(at(wait), "crew", 1600)
 	assert.Assert(t, ok, "and fills")
-	ok, _ = l.Take(start, "nobody's", 1e9)
+	ok, _ = l.Charge(start, "nobody's", 1e9)
 	assert.Assert(t, ok, "a team without a limit")
 	ran := 0
 	for i := range 20 { // all at once
-		if ok, _ := l.Take(at(10*time.Second), "crew", 1000+float64(i)); ok {
+		if ok, _ := l.Charge(at(10*time.Second), "crew", 1000+float64(i)); ok {
 			ran++
 		}
 	}
@@ -42,10 +42,10 @@
 func TestRefusedCallersComeBackInTurn(t *testing.T) {
 	l := NewLedger(room)
 	l.SetLimits(start, limits(10_000))
-	l.Take(at(time.Millisecond), "crew", 1000)
+	l.Charge(at(time.Millisecond), "crew", 1000)
 	var waits []time.Duration
 	for range 4 {
-		ok, wait := l.Take(at(time.Millisecond), "crew", 1000)
+		ok, wait := l.Charge(at(time.Millisecond), "crew", 1000)
 		assert.Assert(t, !ok)
 		waits = append(waits, wait)
 	}
@@ -54,7 +54,7 @@
 		assert.Assert(t, gap > 80*time.Millisecond && gap < 120*time.Millisecond, "%v", waits)
 	}
 	for i, wait := range waits {
-		ok, _ := l.Take(at(time.Millisecond+wait+time.Millisecond), "crew", 1000)
+		ok, _ := l.Charge(at(time.Millisecond+wait+time.Millisecond), "crew", 1000)
 		assert.Assert(t, ok, "caller %d", i)
 	}
 }
@@ -62,10 +62,10 @@
 func TestReturnedUnits(t *testing.T) {
 	l := NewLedger(room)
 	l.SetLimits(start, limits(10_000))
-	l.Take(at(time.Second), "crew", 9000)
-	l.Return(at(time.Second), "crew", 9000)
+	l.Charge(at(time.Second), "crew", 9000)
+	l.Refund(at(time.Second), "crew", 9000)
 	before := l.Levels(at(time.Second))[0].Level
-	l.Return(at(time.Second), "crew", 1e9)
+	l.Refund(at(time.Second), "crew", 1e9)
 	assert.Assert(t, l.Levels(at(time.Second))[0].Level <= 1 && before <= 1, "no account grows beyond its burst")
 }
 
@@ -75,31 +75,31 @@
 	l.SetLimits(at(5*time.Second), limits(1000))
 	sum := 0.0
 	for i := range 1000 {
-		if ok, _ := l.Take(at(5*time.Second+time.Duration(i)*8*time.Millisecond), "crew", 500); ok {
+		if ok, _ := l.Charge(at(5*time.Second+time.Duration(i)*8*time.Millisecond), "crew", 500); ok {
 			sum += 500
 		}
 	}
 	assert.Assert(t, sum <= (1000*8+1000)*1.25+11_000, "%v", sum)
 	l.SetLimits(at(14*time.Second), map[string]Limit{})
-	ok, _ := l.Take(at(14*time.Second), "crew", 1e9)
+	ok, _ := l.Charge(at(14*time.Second), "crew", 1e9)
 	assert.Assert(t, ok, "the limit is gone")
 }
 
 func TestReserve(t *testing.T) {
 	r := NewReserve(room)
 	r.SetLimits(start, limits(100_000))
-	assert.Assert(t, !r.Take(start, "crew", 1, 0), "a VM that does not know its fleet")
-	r.SetFleet(start, 10, suspectTime)
-	assert.Assert(t, !r.Take(start, "crew", 1, 0.001), "it begins with nothing")
-	assert.Assert(t, r.Take(at(16*time.Second), "crew", 2900, 0.999), "and gains while the ledger answers")
+	assert.Assert(t, !r.Charge(start, "crew", 1, 0), "a VM that does not know its fleet")
+	r.SetFleetSize(start, 10, suspectTime)
+	assert.Assert(t, !r.Charge(start, "crew", 1, 0.001), "it begins with nothing")
+	assert.Assert(t, r.Charge(at(16*time.Second), "crew", 2900, 0.999), "and gains while the ledger answers")
 	r = NewReserve(room)
 	r.SetLimits(start, limits(100_000))
-	r.SetFleet(start, 10, suspectTime)
+	r.SetFleetSize(start, 10, suspectTime)
 	rng := rand.New(rand.NewPCG(1, 2))
 	run := func(from, to time.Duration, alone bool) (sum float64) {
 		for d := from; d < to; d += 20 * time.Millisecond {
-			r.SetAlone(at(d), alone)
-			if r.Take(at(d), "crew", 400, rng.Float64()) {
+			r.SetDisconnected(at(d), alone)
+			if r.Charge(at(d), "crew", 400, rng.Float64()) {
 				sum += 400
 			}
 		}
@@ -120,10 +120,10 @@
 	for range 72 {
 		r := NewReserve(room)
 		r.SetLimits(start, limits(2700))
-		r.SetFleet(start, 72, suspectTime)
+		r.SetFleetSize(start, 72, suspectTime)
 		for d := time.Duration(0); d < 8*time.Second; d += 500 * time.Millisecond {
-			r.SetAlone(at(d), true)
-			if r.Take(at(d), "crew", 1600, rng.Float64()) {
+			r.SetDisconnected(at(d), true)
+			if r.Charge(at(d), "crew", 1600, rng.Float64()) {
 				sum += 1600
 			}
 		}
@@ -145,6 +145,6 @@
 	now := start
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Microsecond)
-		l.Take(now, names[i%2000], 1600)
+		l.Charge(now, names[i%2000], 1600)
 	}
 }
--- a/coord/quota/reserve.go
+++ b/coord/quota/reserve.go
@@ -38,23 +38,23 @@
 )
 
 // NewReserve returns the reserve of a VM that does not know its fleet yet: it holds nothing.
-func NewReserve(room Room) *Reserve {
+func NewReserve(room Tolerance) *Reserve {
 	r := &Reserve{accounts: newAccounts(room)}
 	r.accounts.terms = r.terms
 	return r
 }
 
-// SetFleet says how many VMs share the limits, 0 if it is not known, and after which silence the
+// SetFleetSize says how many VMs share the limits, 0 if it is not known, and after which silence the
 // ledger's VM takes one of them for away.
-func (r *Reserve) SetFleet(now time.Time, vms int, noticed time.Duration) {
+func (r *Reserve) SetFleetSize(now time.Time, vms int, noticed time.Duration) {
 	if vms != r.vms || noticed != r.noticed {
 		r.vms, r.noticed = vms, noticed
 		r.configure(now)
 	}
 }
 
-// SetAlone says whether the ledger is silent.
-func (r *Reserve) SetAlone(now time.Time, alone bool) {
+// SetDisconnected says whether the ledger is silent.
+func (r *Reserve) SetDisconnected(now time.Time, alone bool) {
 	if alone && r.phase == answered {
 		r.alone = now
 	}
@@ -96,11 +96,11 @@
 	}
 }
 
-// Take charges a request of a team while the ledger is silent. chance is drawn evenly from 0
+// Charge charges a request of a team while the ledger is silent. chance is drawn evenly from 0
 // to 1: where less is left than the request costs, it is let through as often as that is a
 // part of the cost, and nothing is left either way. In a large fleet one VM's part of a small
 // team's limit is a small part of one request.
-func (r *Reserve) Take(now time.Time, team string, cost, chance float64) bool {
+func (r *Reserve) Charge(now time.Time, team string, cost, chance float64) bool {
 	b := r.teams[team]
 	if b == nil {
 		return true
--- a/coord/ratelimit/fleet_test.go
+++ b/coord/ratelimit/fleet_test.go
@@ -45,11 +45,11 @@
 		return false
 	}
 	p := w.pacers[acting]
-	p.SetShare(now, share)
-	if !p.Open(now, "t") {
+	p.SetFleetShare(now, share)
+	if !p.Ready(now, "t") {
 		return false
 	}
-	p.Take(now, "t")
+	p.Consume(now, "t")
 	return true
 }
 
--- a/coord/ratelimit/pacer.go
+++ b/coord/ratelimit/pacer.go
@@ -8,9 +8,9 @@
 	// burstTime is the time of a target's limit that a bucket holds beside one request: requests that
 	// wait are looked at every 20 ms.
 	burstTime = 100 * time.Millisecond
-	// LeastRate is the lowest rate at which a target gets requests, a second, whatever it names: one
+	// MinRate is the lowest rate at which a target gets requests, a second, whatever it names: one
 	// that got none could not say that its limit has ended.
-	LeastRate = 0.2
+	MinRate = 0.2
 	// probeAfter is how long a limited target goes without a request before it is preferred for one.
 	probeAfter = 2 * time.Second
 )
@@ -50,8 +50,8 @@
 	}
 }
 
-// SetShare says which part of the fleet asks this VM.
-func (p *Pacer) SetShare(now time.Time, share float64) {
+// SetFleetShare says which part of the fleet asks this VM.
+func (p *Pacer) SetFleetShare(now time.Time, share float64) {
 	if share == p.share {
 		return
 	}
@@ -77,14 +77,14 @@
 			b = &bucket{at: now, taken: now}
 			p.buckets[id] = b
 		}
-		b.rate = max(rate, LeastRate)
+		b.rate = max(rate, MinRate)
 		b.fill = p.share * b.rate
 		b.tokens = min(b.tokens, b.capacity())
 	}
 }
 
-// Open reports whether a target may get a request now.
-func (p *Pacer) Open(now time.Time, target string) bool {
+// Ready reports whether a target may get a request now.
+func (p *Pacer) Ready(now time.Time, target string) bool {
 	b := p.buckets[target]
 	if b == nil {
 		return true
@@ -93,8 +93,8 @@
 	return b.tokens >= 1
 }
 
-// Take takes that a target gets a request.
-func (p *Pacer) Take(now time.Time, target string) {
+// Consume takes that a target gets a request.
+func (p *Pacer) Consume(now time.Time, target string) {
 	if b := p.buckets[target]; b != nil {
 		b.advance(now)
 		b.tokens--
@@ -102,11 +102,11 @@
 	}
 }
 
-// Due reports whether a limited target is to get the next request that may go there: it has had none
+// ProbeDue reports whether a limited target is to get the next request that may go there: it has had none
 // for a while, and only an answer can tell that its limit has ended.
-func (p *Pacer) Due(now time.Time, target string) bool {
+func (p *Pacer) ProbeDue(now time.Time, target string) bool {
 	b := p.buckets[target]
-	return b != nil && now.Sub(b.taken) >= probeAfter && p.Open(now, target)
+	return b != nil && now.Sub(b.taken) >= probeAfter && p.Ready(now, target)
 }
 
 // Rate is how many requests a second this VM may send to a target; limited is false where it has no
@@ -137,19 +137,19 @@
 	if perSecond <= 0 {
 		return MaxWait
 	}
-	return min(Span(requests, perSecond), MaxWait)
+	return min(DurationFor(requests, perSecond), MaxWait)
 }
 
-// Span is how long so many requests take at a rate above 0, however long that is.
-func Span(requests, perSecond float64) time.Duration {
+// DurationFor is how long so many requests take at a rate above 0, however long that is.
+func DurationFor(requests, perSecond float64) time.Duration {
 	return time.Duration(requests / perSecond * float64(time.Second))
 }
 
 // MaxWait is the longest wait that is told: nobody waits for longer.
 const MaxWait = 10 * time.Second
 
-// Returns spreads the returns of refused callers over the time in which they can be served.
-type Returns struct {
+// RetryDelays spreads the returns of refused callers over the time in which they can be served.
+type RetryDelays struct {
 	at time.Time
 	// promised are the callers that were told to come back and have not yet.
 	promised float64
@@ -157,7 +157,7 @@
 
 // Next is when one more caller is to come back, where so many requests wait and so many are served a
 // second.
-func (r *Returns) Next(now time.Time, waiting int, perSecond float64) time.Duration {
+func (r *RetryDelays) Next(now time.Time, waiting int, perSecond float64) time.Duration {
 	if d := now.Sub(r.at); d > 0 {
 		r.promised = max(r.promised-d.Seconds()*perSecond, 0)
 		r.at = now
--- a/coord/ratelimit/pacer_test.go
+++ b/coord/ratelimit/pacer_test.go
@@ -9,8 +9,8 @@
 
 // drain takes all that a target may get at a moment.
 func drain(p *Pacer, now time.Time, target string) (n int) {
-	for p.Open(now, target) {
-		p.Take(now, target)
+	for p.Ready(now, target) {
+		p.Consume(now, target)
 		n++
 	}
 	return n
@@ -26,21 +26,21 @@
 
 func TestPacer(t *testing.T) {
 	p := NewPacer()
-	assert.Assert(t, p.Open(start, "a"))
+	assert.Assert(t, p.Ready(start, "a"))
 	p.SetRates(start, map[string]float64{"a": 2})
 	assert.Equal(t, drain(p, start, "a"), 0, "it begins empty")
 	assert.Equal(t, p.Wait(start, "a"), 500*time.Millisecond)
 	assert.Equal(t, over(p, start, 4*time.Second, "a"), 7)
 	assert.Equal(t, drain(p, start.Add(time.Minute), "a"), 1, "an idle time is not made up for")
-	assert.Assert(t, p.Open(start, "b"))
+	assert.Assert(t, p.Ready(start, "b"))
 	rate, limited := p.Rate("a")
 	assert.Assert(t, limited && rate == 2)
 
-	p.SetShare(start.Add(time.Minute), 0.5)
+	p.SetFleetShare(start.Add(time.Minute), 0.5)
 	assert.Equal(t, over(p, start.Add(time.Minute), 4*time.Second, "a"), 4, "0.2 were left")
 	p.SetRates(start.Add(2*time.Minute), nil)
 	_, limited = p.Rate("a")
-	assert.Assert(t, !limited && p.Open(start, "a"))
+	assert.Assert(t, !limited && p.Ready(start, "a"))
 }
 
 func TestResetEmptiesBuckets(t *testing.T) {
@@ -71,16 +71,16 @@
 func TestDue(t *testing.T) {
 	p := NewPacer()
 	p.SetRates(start, map[string]float64{"a": 4})
-	assert.Assert(t, !p.Due(start.Add(time.Second), "a") && !p.Due(start.Add(time.Minute), "b"))
+	assert.Assert(t, !p.ProbeDue(start.Add(time.Second), "a") && !p.ProbeDue(start.Add(time.Minute), "b"))
 	now := start.Add(probeAfter)
-	assert.Assert(t, p.Due(now, "a"))
-	p.Take(now, "a")
-	assert.Assert(t, !p.Due(now.Add(time.Second), "a"))
+	assert.Assert(t, p.ProbeDue(now, "a"))
+	p.Consume(now, "a")
+	assert.Assert(t, !p.ProbeDue(now.Add(time.Second), "a"))
 }
 
 // TestReturnsAreSpread over the time in which refused callers can be served.
 func TestReturnsAreSpread(t *testing.T) {
-	var r Returns
+	var r RetryDelays
 	for i := range 10 {
 		assert.Equal(t, r.Next(start, 2, 4), time.Duration(3+i)*250*time.Millisecond)
 	}
--- a/coord/ratelimit/table.go
+++ b/coord/ratelimit/table.go
@@ -50,10 +50,10 @@
 	return out
 }
 
-// Name takes an answer that names a limit, to a request that was placed when Stamp was the given one.
+// ObserveLimit takes an answer that names a limit, to a request that was placed when Stamp was the given one.
 // Answers may overtake each other, so a higher limit counts only where none as low has been heard of
 // since then. It reports whether the limit changed.
-func (t *Table) Name(now time.Time, target string, perSecond float64, stamp uint64) (changed bool) {
+func (t *Table) ObserveLimit(now time.Time, target string, perSecond float64, stamp uint64) (changed bool) {
 	l, known := t.limits[target]
 	if known && perSecond > l.PerSecond && stamp != l.Stamp {
 		return false
@@ -68,8 +68,8 @@
 	return changed
 }
 
-// End takes an answer that names no limit, as Name does.
-func (t *Table) End(target string, stamp uint64) (changed bool) {
+// ObserveNoLimit takes an answer that names no limit, as Name does.
+func (t *Table) ObserveNoLimit(target string, stamp uint64) (changed bool) {
 	l, known := t.limits[target]
 	if !known || stamp != l.Stamp {
 		return false
@@ -78,13 +78,13 @@
 	return true
 }
 
-// Replace takes the word of the VM that paces requests.
-func (t *Table) Replace(now time.Time, target string, perSecond float64, ended bool) {
+// ApplyUpdate takes the word of the VM that paces requests.
+func (t *Table) ApplyUpdate(now time.Time, target string, perSecond float64, ended bool) {
 	if ended {
 		delete(t.limits, target)
 		return
 	}
-	t.Name(now, target, perSecond, t.limits[target].Stamp)
+	t.ObserveLimit(now, target, perSecond, t.limits[target].Stamp)
 }
 
 // Empty reports whether no target is limited.
@@ -93,7 +93,7 @@
 // Targets lists the limited targets.
 func (t *Table) Targets() []string { return slices.Sorted(maps.Keys(t.limits)) }
 
-// Keep forgets the limits of targets that are not to be kept.
-func (t *Table) Keep(keep func(target string) bool) {
+// Retain forgets the limits of targets that are not to be kept.
+func (t *Table) Retain(keep func(target string) bool) {
 	maps.DeleteFunc(t.limits, func(id string, _ Limit) bool { return !keep(id) })
 }
--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -16,8 +16,8 @@
 	mixShift  = 33
 )
 
-// Mix gives the weight of a member for a key.
-func Mix(member, key uint64) uint64 {
+// Weight gives the weight of a member for a key.
+func Weight(member, key uint64) uint64 {
 	h := member ^ (key * mixFirst)
 	h ^= h >> mixShift
 	h *= mixSecond
@@ -32,7 +32,7 @@
 	var best T
 	var weight uint64
 	for i, name := range names {
-		if w := Mix(Hash(string(name)), key); i == 0 || w > weight {
+		if w := Weight(Hash(string(name)), key); i == 0 || w > weight {
 			best, weight = name, w
 		}
 	}
@@ -45,7 +45,7 @@
 func Top(members []uint64, key uint64, best []int) int {
 	n := 0
 	for i, m := range members {
-		n = insert(members, key, best, n, i, Mix(m, key))
+		n = insert(members, key, best, n, i, Weight(m, key))
 	}
 	return n
 }
@@ -53,7 +53,7 @@
 // insert puts candidate i with weight w into best[:n], which is kept sorted.
 func insert(members []uint64, key uint64, best []int, n, i int, w uint64) int {
 	at := n
-	for at > 0 && Mix(members[best[at-1]], key) < w {
+	for at > 0 && Weight(members[best[at-1]], key) < w {
 		at--
 	}
 	if at == len(best) {
--- a/coord/replay_test.go
+++ b/coord/replay_test.go
@@ -388,9 +388,9 @@
 	*replay
 	pool    *placement.Pool
 	sched   *placement.Scheduler
-	board   *placement.Board
+	board   *placement.LoadTracker
 	spread  *placement.Spread
-	giver   *loadpermit.Giver
+	giver   *loadpermit.Issuer
 	engines []*ourEngine
 	asks    map[uint64]*ourEngine
 	nextAsk uint64
@@ -411,9 +411,9 @@
 
 func newOurs(r *replay, tune func(*dispatch.Config)) *ours {
 	o := &ours{
-		replay: r, sched: placement.Default(), board: placement.NewBoard(placement.DefaultBoardConfig()),
+		replay: r, sched: placement.Default(), board: placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
 		spread: placement.NewSpread(placement.DefaultSpreadConfig()), tune: tune,
-		giver: loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, Hold: 5 * time.Second}),
+		giver: loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, MaxHoldTime: 5 * time.Second}),
 		asks:  map[uint64]*ourEngine{}, byID: map[coord.TargetID]*ourEngine{},
 	}
 	var targets []placement.Target
@@ -423,7 +423,7 @@
 		e.boot()
 		o.engines = append(o.engines, e)
 		o.byID[e.id] = e
-		targets = append(targets, placement.Target{ID: e.id, Base: "base", Hall: "hall", Batch: r.batch})
+		targets = append(targets, placement.Target{ID: e.id, Base: "base", Zone: "hall", Batch: r.batch})
 	}
 	o.pool = placement.NewMap(targets).Pool("base")
 	o.tick()
@@ -442,7 +442,7 @@
 // tick is the owners' 100 ms tick.
 func (o *ours) tick() {
 	o.clock.after(100*time.Millisecond, func() {
-		o.board.Forget(o.clock.now)
+		o.board.ExpireStale(o.clock.now)
 		o.spread.Tick(o.clock.now)
 		for _, e := range o.engines {
 			e.act(e.dispatch.Tick(o.clock.now))
@@ -454,9 +454,9 @@
 
 func (o *ours) submit(j *job) {
 	key := rendezvous.Hash(adapterOf(j.adapter).String())
-	q := placement.Query{Key: key, Halls: ^uint64(0), Spread: o.spread.Width(key), Now: o.clock.now}
+	q := placement.Query{Key: key, Zones: ^uint64(0), Spread: o.spread.Width(key), Now: o.clock.now}
 	choice := o.sched.Pick(o.pool, o.board, &q)
-	o.board.Sent(choice.Target)
+	o.board.RecordSent(choice.Target)
 	e := o.byID[choice.Target]
 	e.jobs[j.handle] = j
 	j.waited = !e.dispatch.Slots().IsResident(adapterOf(j.adapter))
@@ -469,8 +469,8 @@
 // hint is what an answer tells the entry VM of the target's load.
 func (e *ourEngine) hint(key uint64, a coord.Adapter) {
 	now := e.sys.clock.now
-	e.sys.board.Heard(now, e.id, e.dispatch.Running(), e.dispatch.Queued())
-	e.sys.spread.Heard(now, key, e.dispatch.SameAdapter(a), e.sys.batch)
+	e.sys.board.ObserveLoad(now, e.id, e.dispatch.Running(), e.dispatch.Queued())
+	e.sys.spread.ObserveLoad(now, key, e.dispatch.AdapterRequests(a), e.sys.batch)
 }
 
 func adapterOf(i int) coord.Adapter { return coord.Adapter{Name: fmt.Sprintf("a%d", i), Version: "1"} }
@@ -488,14 +488,14 @@
 		case dispatch.ActRefuse:
 			delete(e.jobs, a.Handle)
 			e.sys.refuse(a.Cause.String())
-		case dispatch.ActAskTurn:
+		case dispatch.ActRequestPermit:
 			e.sys.nextAsk++
 			e.turn = e.sys.nextAsk
 			e.sys.asks[e.turn] = e
-			e.sys.grant(e.sys.giver.Ask(now, loadpermit.Ask{ID: e.turn, Value: a.Value}))
-		case dispatch.ActRaiseTurn:
-			e.sys.giver.Raise(e.turn, a.Value)
-		case dispatch.ActGiveTurn:
+			e.sys.grant(e.sys.giver.Request(now, loadpermit.Request{ID: e.turn, Priority: a.Priority}))
+		case dispatch.ActRaisePermit:
+			e.sys.giver.RaisePriority(e.turn, a.Priority)
+		case dispatch.ActReturnPermit:
 			e.sys.grant(e.sys.giver.Cancel(now, e.turn))
 		case dispatch.ActUnload:
 			e.later(func() { e.act(e.dispatch.Unloaded(e.sys.clock.now, a.Name, true)) })
@@ -529,9 +529,9 @@
 		if e == nil {
 			continue
 		}
-		o.clock.after(2*time.Millisecond, func() { e.act(e.dispatch.TurnGranted(o.clock.now)) })
+		o.clock.after(2*time.Millisecond, func() { e.act(e.dispatch.PermitGranted(o.clock.now)) })
 	}
-	if next := o.giver.Next(); len(ids) > 0 && next.After(o.clock.now) {
+	if next := o.giver.NextGrant(); len(ids) > 0 && next.After(o.clock.now) {
 		o.clock.after(next.Sub(o.clock.now), func() { o.grant(o.giver.Tick(o.clock.now)) })
 	}
 }
--- a/coord/residency/residency.go
+++ b/coord/residency/residency.go
@@ -74,8 +74,8 @@
 // New returns an empty Table.
 func New(cfg Config) *Table { return &Table{cfg: cfg, heat: heatMap{}} }
 
-// Asked counts a request for a, resident or not.
-func (t *Table) Asked(now time.Time, a coord.Adapter) { t.heat.add(now, a, t.cfg.HeatHalfLife) }
+// RecordRequest counts a request for a, resident or not.
+func (t *Table) RecordRequest(now time.Time, a coord.Adapter) { t.heat.add(now, a, t.cfg.HeatHalfLife) }
 
 // Heat returns how often a was asked for of late.
 func (t *Table) Heat(now time.Time, a coord.Adapter) float64 {
@@ -133,12 +133,12 @@
 	}
 }
 
-// UnpinBrokenOff ends a running request on a whose connection was closed before its
-// end. The target may go on with it for coord.BrokenOffTime.
-func (t *Table) UnpinBrokenOff(now time.Time, a coord.Adapter) {
+// UnpinAborted ends a running request on a whose connection was closed before its
+// end. The target may go on with it for coord.AbortedRequestTime.
+func (t *Table) UnpinAborted(now time.Time, a coord.Adapter) {
 	t.Unpin(a)
 	if s := t.Find(a); s != nil {
-		s.busyUntil = now.Add(coord.BrokenOffTime)
+		s.busyUntil = now.Add(coord.AbortedRequestTime)
 	}
 }
 
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -17,8 +17,8 @@
 	Slack float64
 }
 
-// Safety is the part of the allowance that is used.
-const Safety = 0.7
+// SafetyFactor is the part of the allowance that is used.
+const SafetyFactor = 0.7
 
 // startShare is how full a new bucket is: VMs that restart often must not gain
 // much by it.
@@ -38,7 +38,7 @@
 	return b
 }
 
-func (b *Budget) capacity() float64 { return Safety * b.cfg.Slack / float64(b.vms) }
+func (b *Budget) capacity() float64 { return SafetyFactor * b.cfg.Slack / float64(b.vms) }
 
 // Configure changes what the deployment allows.
 func (b *Budget) Configure(cfg Config) {
@@ -52,17 +52,17 @@
 	b.tokens = min(b.tokens, b.capacity())
 }
 
-// Request counts a request.
-func (b *Budget) Request() {
-	b.tokens = min(b.tokens+Safety*b.cfg.Ratio, b.capacity())
+// RecordRequest counts a request.
+func (b *Budget) RecordRequest() {
+	b.tokens = min(b.tokens+SafetyFactor*b.cfg.Ratio, b.capacity())
 }
 
-// Take takes one retry; false means that none is to be had. chance is drawn evenly from 0 to
+// TryAcquire takes one retry; false means that none is to be had. chance is drawn evenly from 0 to
 // 1: a part of a token is a retry as often as it is large, and is gone either way. In large
 // fleets a VM's part of Slack is about one (430 over 195 VMs with Safety: 1.5), so that
 // whole tokens leave much unused of what the fleet is allowed: of 195 retries wanted right
 // after a start 52 were made with them, 116 are made now (TestLargeFleetUsesItsAllowance).
-func (b *Budget) Take(chance float64) bool {
+func (b *Budget) TryAcquire(chance float64) bool {
 	if b.tokens >= 1 {
 		b.tokens--
 		return true
@@ -72,5 +72,5 @@
 	return allowed
 }
 
-// Left returns the tokens left.
-func (b *Budget) Left() float64 { return b.tokens }
+// Remaining returns the tokens left.
+func (b *Budget) Remaining() float64 { return b.tokens }
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -20,16 +20,16 @@
 		// One window of the worst kind: quiet before it, so that buckets are full,
 		// then retries whenever they are to be had.
 		for range 1000 {
-			fleet[rng.IntN(vms)].Request()
+			fleet[rng.IntN(vms)].RecordRequest()
 		}
 		requests, retries := 0.0, 0.0
 		for range 2000 {
 			b := fleet[rng.IntN(vms)]
 			if rng.IntN(3) == 0 {
-				b.Request()
+				b.RecordRequest()
 				requests++
 			}
-			if b.Take(rng.Float64()) {
+			if b.TryAcquire(rng.Float64()) {
 				retries++
 			}
 		}
@@ -39,27 +39,27 @@
 
 func TestQuietFleetMayStillRetry(t *testing.T) {
 	b := New(allowed, 7)
-	assert.Assert(t, b.Take(0.99))
+	assert.Assert(t, b.TryAcquire(0.99))
 }
 
 func TestMoreVMsMeansLessEach(t *testing.T) {
 	b := New(allowed, 1)
 	b.SetVMs(10)
-	assert.Assert(t, b.Left() <= Safety*allowed.Slack/10)
+	assert.Assert(t, b.Remaining() <= SafetyFactor*allowed.Slack/10)
 }
 
 func TestLowerAllowanceHoldsAtOnce(t *testing.T) {
 	b := New(allowed, 1)
 	b.Configure(Config{Ratio: 0.2, Slack: 0})
-	assert.Assert(t, !b.Take(0))
+	assert.Assert(t, !b.TryAcquire(0))
 }
 
 func TestEmptyBucketRefuses(t *testing.T) {
 	b := New(Config{Ratio: 0, Slack: 2}, 1)
-	for b.Take(0.99) {
+	for b.TryAcquire(0.99) {
 	}
-	b.Request()
-	assert.Assert(t, !b.Take(0), "a ratio of zero brings nothing")
+	b.RecordRequest()
+	assert.Assert(t, !b.TryAcquire(0), "a ratio of zero brings nothing")
 }
 
 // TestLargeFleetUsesItsAllowance: 195 VMs with little each. What callers get is a second
@@ -75,9 +75,9 @@
 	wanted, got := 0, 0
 	for range vms {
 		b := fleet[rng.IntN(vms)]
-		b.Request()
+		b.RecordRequest()
 		wanted++
-		if b.Take(rng.Float64()) {
+		if b.TryAcquire(rng.Float64()) {
 			got++
 		}
 	}
@@ -86,10 +86,10 @@
 	wanted, got = 0, 0
 	for range 40 * vms {
 		b := fleet[rng.IntN(vms)]
-		b.Request()
+		b.RecordRequest()
 		if rng.IntN(20) == 0 {
 			wanted++
-			if b.Take(rng.Float64()) {
+			if b.TryAcquire(rng.Float64()) {
 				got++
 			}
 		}
@@ -105,12 +105,12 @@
 	b := New(Config{Ratio: 0.2, Slack: 430}, 195)
 	got, requests := 0, 20_000
 	for range requests {
-		b.Request()
+		b.RecordRequest()
 		for range 3 {
-			if b.Take(rng.Float64()) {
+			if b.TryAcquire(rng.Float64()) {
 				got++
 			}
 		}
 	}
-	assert.Assert(t, float64(got) < 1.05*Safety*0.2*float64(requests), "%d", got)
+	assert.Assert(t, float64(got) < 1.05*SafetyFactor*0.2*float64(requests), "%d", got)
 }
--- a/coord/roster/gossip.go
+++ b/coord/roster/gossip.go
@@ -8,16 +8,16 @@
 
 // digest stands for all of an entry but its count.
 func (e Entry) digest() uint64 {
-	h := rendezvous.Mix(rendezvous.Hash(string(e.ID)+e.Address+e.Zone), e.Incarnation)
-	h = rendezvous.Mix(h, e.Fence)
+	h := rendezvous.Weight(rendezvous.Hash(string(e.ID)+e.Address+e.Zone), e.Incarnation)
+	h = rendezvous.Weight(h, e.FencingToken)
 	if e.Leaving {
 		h++
 	}
 	return h
 }
 
-// Beat is the count of a VM whose entry the receiver has: most of what is sent.
-type Beat struct {
+// HeartbeatCount is the count of a VM whose entry the receiver has: most of what is sent.
+type HeartbeatCount struct {
 	Digest uint64
 	Count  uint64
 }
@@ -27,7 +27,7 @@
 	if e.Incarnation != o.Incarnation {
 		return e.Incarnation > o.Incarnation
 	}
-	return e.Beat > o.Beat
+	return e.Heartbeat > o.Heartbeat
 }
 
 // An entry is sent whole for a time after it changed, and so many times at most: with a
@@ -40,9 +40,9 @@
 	wholeTells = 12
 )
 
-// Tell returns what to send to another VM: whole entries of this VM and of those
+// Digest returns what to send to another VM: whole entries of this VM and of those
 // that changed lately, and the counts of the others that are not silent.
-func (r *Roster) Tell(now time.Time) (entries []Entry, beats []Beat) {
+func (r *Roster) Digest(now time.Time) (entries []Entry, beats []HeartbeatCount) {
 	entries = append(entries, r.self)
 	for _, m := range r.members {
 		switch {
@@ -51,14 +51,14 @@
 			m.told++
 			entries = append(entries, m.Entry)
 		default:
-			beats = append(beats, Beat{Digest: m.digest, Count: m.Beat})
+			beats = append(beats, HeartbeatCount{Digest: m.digest, Count: m.Heartbeat})
 		}
 	}
 	return entries, beats
 }
 
-// TellAll returns whole entries, for a VM that joins.
-func (r *Roster) TellAll() []Entry {
+// Snapshot returns whole entries, for a VM that joins.
+func (r *Roster) Snapshot() []Entry {
 	out := []Entry{r.self}
 	for _, m := range r.members {
 		if m.State != Suspect {
@@ -83,9 +83,9 @@
 	return changes
 }
 
-// MergeBeats takes the counts that another VM sent. unknown reports that some
+// MergeHeartbeats takes the counts that another VM sent. unknown reports that some
 // were of entries that this VM lacks, so that it should ask for them.
-func (r *Roster) MergeBeats(now time.Time, beats []Beat) (changes []Change, unknown bool) {
+func (r *Roster) MergeHeartbeats(now time.Time, beats []HeartbeatCount) (changes []Change, unknown bool) {
 	self := r.self.digest()
 	for _, b := range beats {
 		m := r.digests[b.Digest]
@@ -94,7 +94,7 @@
 			continue
 		}
 		e := m.Entry
-		e.Beat = b.Count
+		e.Heartbeat = b.Count
 		if c, changed := r.take(now, e); changed {
 			changes = append(changes, c)
 		}
@@ -120,7 +120,7 @@
 	r.met[e.Address] = true
 	m := r.members[e.ID]
 	if m == nil {
-		m = &Member{Entry: e, Heard: now, State: stateOf(e), changed: now, digest: e.digest()}
+		m = &Member{Entry: e, LastHeartbeat: now, State: stateOf(e), changed: now, digest: e.digest()}
 		r.members[e.ID] = m
 		r.digests[m.digest] = m
 		return Change{VM: e.ID, New: m.State.String()}, true
@@ -129,7 +129,7 @@
 		return Change{}, false
 	}
 	before := m.State
-	silent := now.Sub(m.Heard)
+	silent := now.Sub(m.LastHeartbeat)
 	var restarted uint64
 	if e.Incarnation != m.Incarnation {
 		restarted = e.Incarnation
@@ -140,9 +140,9 @@
 		m.digest, m.changed, m.told = d, now, 0
 		r.digests[d] = m
 	}
-	m.Heard = now
+	m.LastHeartbeat = now
 	m.State = stateOf(e)
-	return Change{VM: e.ID, Old: before.String(), New: m.State.String(), Silent: silent, Restarted: restarted}, before != m.State || restarted != 0
+	return Change{VM: e.ID, Old: before.String(), New: m.State.String(), UnresponsiveFor: silent, NewIncarnation: restarted}, before != m.State || restarted != 0
 }
 
 func stateOf(e Entry) State {
--- a/coord/roster/roster.go
+++ b/coord/roster/roster.go
@@ -30,11 +30,11 @@
 	Zone    string
 	// Incarnation grows with each start of the process.
 	Incarnation uint64
-	// Beat counts the process's heartbeats.
-	Beat    uint64
-	Leaving bool
-	// Fence under which the VM holds the scheduler's lease; 0: none.
-	Fence uint64
+	// Heartbeat counts the process's heartbeats.
+	Heartbeat uint64
+	Leaving   bool
+	// FencingToken under which the VM holds the scheduler's lease; 0: none.
+	FencingToken uint64
 	// Capacity of the VM for work for others, in hundredths of a core.
 	Capacity uint32
 }
@@ -59,8 +59,8 @@
 type Member struct {
 	Entry
 	State State
-	// Heard is when the count last grew.
-	Heard time.Time
+	// LastHeartbeat is when the count last grew.
+	LastHeartbeat time.Time
 
 	digest uint64
 	// changed is when anything but the count last changed, and told how often the entry
@@ -92,12 +92,12 @@
 // Change is a transition to be logged: a VM joined (Old is empty), changed its
 // state, or was forgotten (New is empty).
 type Change struct {
-	VM       coord.VMID
-	Old, New string
-	Silent   time.Duration
-	// Restarted is the incarnation of a process of the VM that was not heard of
+	VM              coord.VMID
+	Old, New        string
+	UnresponsiveFor time.Duration
+	// NewIncarnation is the incarnation of a process of the VM that was not heard of
 	// before; 0: the same process.
-	Restarted uint64
+	NewIncarnation uint64
 }
 
 // Roster is one VM's view of the fleet.
@@ -129,8 +129,8 @@
 // SetLeaving says that this VM leaves.
 func (r *Roster) SetLeaving() { r.self.Leaving = true }
 
-// SetFence says under which number this VM holds the scheduler's lease.
-func (r *Roster) SetFence(fence uint64) { r.self.Fence = fence }
+// SetFencingToken says under which number this VM holds the scheduler's lease.
+func (r *Roster) SetFencingToken(fence uint64) { r.self.FencingToken = fence }
 
 // Member returns another VM, or nil.
 func (r *Roster) Member(id coord.VMID) *Member { return r.members[id] }
@@ -160,9 +160,9 @@
 	return out
 }
 
-// Strong returns the live VMs that have at least half of the largest capacity
+// LeaderCandidates returns the live VMs that have at least half of the largest capacity
 // among them: those that can work for all others.
-func (r *Roster) Strong() []Entry {
+func (r *Roster) LeaderCandidates() []Entry {
 	live := r.Live()
 	most := uint32(0)
 	for _, e := range live {
@@ -178,7 +178,7 @@
 // HasMajority reports whether this VM is in touch with more than half of the
 // fleet, itself included. Of two equal halves, the one with the lowest id has it.
 func (r *Roster) HasMajority() bool {
-	heard := r.Heard()
+	heard := r.ResponsiveCount()
 	size := r.Size() + r.unmetSeeds()
 	if 2*heard == size {
 		return r.hearsLowest() && size == r.Size()
@@ -186,8 +186,8 @@
 	return 2*heard > size
 }
 
-// Heard returns how many VMs are not silent, this one among them.
-func (r *Roster) Heard() int {
+// ResponsiveCount returns how many VMs are not silent, this one among them.
+func (r *Roster) ResponsiveCount() int {
 	heard := 1
 	for _, m := range r.members {
 		if m.State != Suspect {
@@ -242,21 +242,21 @@
 	suspectAfter := r.SuspectAfter()
 	paused = now.Sub(r.last) > r.cfg.SuspectAfter/2
 	r.last = now
-	r.self.Beat++
+	r.self.Heartbeat++
 	for id, m := range r.members {
 		if paused && m.State != Suspect {
-			m.Heard = now
+			m.LastHeartbeat = now
 		}
-		silent := now.Sub(m.Heard)
+		silent := now.Sub(m.LastHeartbeat)
 		switch {
 		case silent >= forgetAfter, m.State == Leaving && silent >= suspectAfter:
 			delete(r.members, id)
 			delete(r.digests, m.digest)
 			r.forgotten[id] = m.Entry
-			changes = append(changes, Change{VM: id, Old: m.State.String(), Silent: silent})
+			changes = append(changes, Change{VM: id, Old: m.State.String(), UnresponsiveFor: silent})
 		case silent >= suspectAfter && m.State == Live:
 			m.State = Suspect
-			changes = append(changes, Change{VM: id, Old: Live.String(), New: Suspect.String(), Silent: silent})
+			changes = append(changes, Change{VM: id, Old: Live.String(), New: Suspect.String(), UnresponsiveFor: silent})
 		}
 	}
 	return changes, paused
--- a/coord/roster/roster_test.go
+++ b/coord/roster/roster_test.go
@@ -17,7 +17,7 @@
 )
 
 func entry(id string, incarnation, beat uint64) Entry {
-	return Entry{ID: coord.VMID(id), Address: id + ":1", Incarnation: incarnation, Beat: beat}
+	return Entry{ID: coord.VMID(id), Address: id + ":1", Incarnation: incarnation, Heartbeat: beat}
 }
 
 func newRoster(id string) *Roster { return New(cfg, entry(id, 1, 0)) }
@@ -92,7 +92,7 @@
 	r := newRoster("a")
 	r.Merge(start, []Entry{entry("b", 5, 1)})
 	changes := r.Merge(start, []Entry{entry("b", 9, 1)})
-	assert.Equal(t, changes[0].Restarted, uint64(9))
+	assert.Equal(t, changes[0].NewIncarnation, uint64(9))
 	assert.Equal(t, len(r.Merge(start, []Entry{entry("b", 9, 2)})), 0)
 }
 
@@ -190,7 +190,7 @@
 		r.Merge(start.Add(at*time.Millisecond), []Entry{entry("c", 1, uint64(at))})
 		r.Tick(start.Add(at * time.Millisecond))
 	}
-	assert.Equal(t, len(r.TellAll()), 2, "this VM and c")
+	assert.Equal(t, len(r.Snapshot()), 2, "this VM and c")
 	live := r.Live()
 	assert.Equal(t, len(live), 2)
 	assert.Equal(t, live[1].ID, coord.VMID("c"))
@@ -199,19 +199,19 @@
 func TestUnchangedEntriesAreToldByTheirCount(t *testing.T) {
 	a, c := newRoster("a"), newRoster("c")
 	a.Merge(start, []Entry{entry("b", 1, 1)})
-	whole, beats := a.Tell(start.Add(time.Second))
+	whole, beats := a.Digest(start.Add(time.Second))
 	assert.Equal(t, len(whole), 2)
 	assert.Equal(t, len(beats), 0)
 	c.Merge(start, whole)
 	later := start.Add(tellWhole)
 	a.Merge(later, []Entry{entry("b", 1, 7)})
-	whole, beats = a.Tell(later)
+	whole, beats = a.Digest(later)
 	assert.Equal(t, len(whole), 1, "this VM alone")
-	_, unknown := c.MergeBeats(later, beats)
+	_, unknown := c.MergeHeartbeats(later, beats)
 	assert.Assert(t, !unknown)
-	assert.Equal(t, c.Member("b").Beat, uint64(7))
-	assert.Equal(t, c.Member("b").Heard, later)
-	_, unknown = newRoster("d").MergeBeats(later, beats)
+	assert.Equal(t, c.Member("b").Heartbeat, uint64(7))
+	assert.Equal(t, c.Member("b").LastHeartbeat, later)
+	_, unknown = newRoster("d").MergeHeartbeats(later, beats)
 	assert.Assert(t, unknown, "d has to ask for the entry")
 }
 
@@ -219,10 +219,10 @@
 	a, c := newRoster("a"), newRoster("c")
 	a.Merge(start, []Entry{entry("b", 1, 50)})
 	c.Merge(start, []Entry{entry("b", 2, 1)})
-	_, beats := a.Tell(start.Add(tellWhole))
-	_, unknown := c.MergeBeats(start.Add(tellWhole), beats)
+	_, beats := a.Digest(start.Add(tellWhole))
+	_, unknown := c.MergeHeartbeats(start.Add(tellWhole), beats)
 	assert.Assert(t, unknown)
-	assert.Equal(t, c.Member("b").Beat, uint64(1))
+	assert.Equal(t, c.Member("b").Heartbeat, uint64(1))
 }
 
 func TestLargerFleetsWaitLonger(t *testing.T) {
@@ -241,7 +241,7 @@
 	r := New(cfg, Entry{ID: "a", Capacity: 20})
 	r.Merge(start, []Entry{{ID: "b", Incarnation: 1, Capacity: 80}, {ID: "c", Incarnation: 1, Capacity: 40}, {ID: "d", Incarnation: 1, Capacity: 39}})
 	var ids []coord.VMID
-	for _, e := range r.Strong() {
+	for _, e := range r.LeaderCandidates() {
 		ids = append(ids, e.ID)
 	}
 	assert.DeepEqual(t, ids, []coord.VMID{"b", "c"})
@@ -271,21 +271,21 @@
 		for i, r := range fleet {
 			for _, seed := range fleet[:3] {
 				if seed != r && r.Member(seed.Self().ID) == nil { // joins
-					seed.Merge(now, r.TellAll())
-					r.Merge(now, seed.TellAll())
+					seed.Merge(now, r.Snapshot())
+					r.Merge(now, seed.Snapshot())
 				}
 			}
 			r.Tick(now)
 			members := r.Members()
 			rng.Shuffle(len(members), func(a, b int) { members[a], members[b] = members[b], members[a] })
 			for _, m := range members[:min(fanout, len(members))] {
-				entries, beats := r.Tell(now)
+				entries, beats := r.Digest(now)
 				whole += len(entries)
 				to := fleet[index[m.ID]]
 				to.Merge(now, entries)
-				if _, unknown := to.MergeBeats(now, beats); unknown {
+				if _, unknown := to.MergeHeartbeats(now, beats); unknown {
 					asked++
-					to.Merge(now, fleet[i].TellAll())
+					to.Merge(now, fleet[i].Snapshot())
 				}
 			}
 		}
@@ -311,8 +311,8 @@
 	a.Merge(start, []Entry{b.Self()})
 	b.Merge(start, []Entry{a.Self()})
 	later := start.Add(tellWhole)
-	_, beats := a.Tell(later)
+	_, beats := a.Digest(later)
 	assert.Equal(t, len(beats), 1)
-	_, unknown := b.MergeBeats(later, beats)
+	_, unknown := b.MergeHeartbeats(later, beats)
 	assert.Assert(t, !unknown)
 }
--- a/coord/safety_test.go
+++ b/coord/safety_test.go
@@ -53,7 +53,7 @@
 		"want": func(pick func(int) int) {
 			i := pick(len(f.vms))
 			if v := f.vms[i]; !v.dead {
-				f.own(i, v.machine.Want(f.now, pick(2) == 0, v.others))
+				f.own(i, v.machine.SetDesired(f.now, pick(2) == 0, v.others))
 			}
 		},
 		"tick": func(pick func(int) int) {
--- a/coord/scheduler/freed.go
+++ b/coord/scheduler/freed.go
@@ -20,8 +20,8 @@
 	causes
 )
 
-// Causes lists what may free a place.
-func Causes() []FreedBy {
+// FreedByValues lists what may free a place.
+func FreedByValues() []FreedBy {
 	return []FreedBy{FreedByAnswer, FreedByReport, FreedByRejection, FreedByRequest, FreedWithTarget}
 }
 
--- a/coord/scheduler/grants.go
+++ b/coord/scheduler/grants.go
@@ -16,7 +16,7 @@
 	tokens int
 	// prompt is what the target reads of it; nil once the first event has come, and
 	// for requests that were adopted.
-	prompt *enginecost.Prompt
+	prompt *enginecost.PendingPrompt
 	// firstAt is when the first event came.
 	firstAt  time.Time
 	deadline time.Time
@@ -27,7 +27,7 @@
 	slot    *slot
 	version int64
 	// judges is the start of the load that it is the first to use; zero: it is not.
-	judges loadlimit.Start
+	judges loadlimit.StartedLoad
 	// lost says that the VM that sent it is silent; it may be paused.
 	lost bool
 }
@@ -45,12 +45,12 @@
 		s.judge(now, g, false)
 	}
 	if how == EndedOK && !g.firstAt.IsZero() {
-		s.speed.Ran(now.Sub(g.firstAt))
+		s.speed.ObserveStream(now.Sub(g.firstAt))
 	}
 	switch how {
-	case EndedMisplaced, EndedBusy:
+	case EndedMisrouted, EndedBusy:
 		s.notRun(now, g, how)
-	case EndedAbandoned, EndedFailed, EndedBroke:
+	case EndedAbandoned, EndedFailed, EndedDisconnected:
 		g.target.hold(now, g.ref)
 	}
 	return s.settleSoon(now)
@@ -75,10 +75,10 @@
 		if late {
 			s.judge(now, g, true)
 		}
-		g.judges = loadlimit.Start{}
+		g.judges = loadlimit.StartedLoad{}
 		return
 	}
-	if how == EndedMisplaced {
+	if how == EndedMisrouted {
 		s.drop(g.target, g.ref)
 		g.target.distrust(now)
 	}
@@ -90,8 +90,8 @@
 		s.shownInTime(g)
 		g.prove()
 	}
-	s.limit.Ended(now, g.judges, late)
-	g.judges = loadlimit.Start{}
+	s.limit.End(now, g.judges, late)
+	g.judges = loadlimit.StartedLoad{}
 }
 
 // prove takes that a request ran: its adapter is there, unless it has been loaded anew since
@@ -110,19 +110,19 @@
 	}
 }
 
-// First takes the news that a granted request has had its first event.
-func (s *Scheduler) First(now time.Time, key Key) {
+// FirstEvent takes the news that a granted request has had its first event.
+func (s *Scheduler) FirstEvent(now time.Time, key Key) {
 	g := s.grants[key]
 	if g == nil || g.prompt == nil {
 		return
 	}
 	s.judge(now, g, false)
-	g.target.engine.First(now, s.speed, g.prompt)
+	g.target.engine.ObserveFirstEvent(now, s.speed, g.prompt)
 	g.prompt, g.firstAt = nil, now
 }
 
-// Told says that a VM has told all that it runs.
-func (s *Scheduler) Told(now time.Time, vm coord.VMID) {
+// RunningReported says that a VM has told all that it runs.
+func (s *Scheduler) RunningReported(now time.Time, vm coord.VMID) {
 	delete(s.untold, vm)
 	s.toldAt[vm] = now
 }
@@ -152,10 +152,10 @@
 	t.slots[ref].lastUse = now
 }
 
-// Silent takes the news that a VM is silent. Its requests no longer count as load,
+// VMUnresponsive takes the news that a VM is silent. Its requests no longer count as load,
 // but their adapters stay until their deadlines: a VM that is paused keeps its
 // connections open, and engines go on.
-func (s *Scheduler) Silent(now time.Time, vm coord.VMID) []Action {
+func (s *Scheduler) VMUnresponsive(now time.Time, vm coord.VMID) []Action {
 	delete(s.toldAt, vm)
 	s.waiting = slices.DeleteFunc(s.waiting, func(r *Request) bool { return r.VM == vm })
 	for key, g := range s.grants {
@@ -169,9 +169,9 @@
 	return s.take()
 }
 
-// Restarted takes the news that a VM has started anew: its earlier process is gone,
+// VMRestarted takes the news that a VM has started anew: its earlier process is gone,
 // and with it its connections. Tickets of the new one are not below since.
-func (s *Scheduler) Restarted(now time.Time, vm coord.VMID, since uint64) []Action {
+func (s *Scheduler) VMRestarted(now time.Time, vm coord.VMID, since uint64) []Action {
 	for key, g := range s.grants {
 		if key.VM == vm && key.Ticket < since {
 			s.release(now, key, g)
--- a/coord/scheduler/health.go
+++ b/coord/scheduler/health.go
@@ -29,11 +29,11 @@
 	case EndedOK:
 		h.failures = 0
 		h.trial = false
-	case EndedFailed, EndedBroke:
+	case EndedFailed, EndedDisconnected:
 		h.fail(now, 1)
 	case EndedUnreachable:
 		h.fail(now, ejectAfter)
-	case EndedBusy, EndedMisplaced, EndedAbandoned, EndedWithdrawn:
+	case EndedBusy, EndedMisrouted, EndedAbandoned, EndedWithdrawn:
 		h.trial = false
 	}
 }
--- a/coord/scheduler/homes.go
+++ b/coord/scheduler/homes.go
@@ -113,7 +113,7 @@
 	var least time.Duration
 	scarce := s.loads >= s.limit.Max()
 	if scarce {
-		s.limit.Full()
+		s.limit.ObserveFull()
 	}
 	key := rendezvous.Hash(r.Ref.String())
 	for _, id := range s.ids {
@@ -123,8 +123,8 @@
 		}
 		d := s.delay(now, t, r) + s.loadTime(t, r.Ref)
 		cost := d + time.Duration(t.crowd.now(now)*float64(crowdCost))
-		cost += s.speed.Reading(t.promised()) + s.rateCost(t)
-		cost += time.Duration(rendezvous.Mix(t.hash, key) % uint64(tieSpan))
+		cost += s.speed.PrefillTime(t.promised()) + s.rateCost(t)
+		cost += time.Duration(rendezvous.Weight(t.hash, key) % uint64(tieSpan))
 		if best != nil && cost >= least {
 			continue
 		}
--- a/coord/scheduler/idle_bench_test.go
+++ b/coord/scheduler/idle_bench_test.go
@@ -10,9 +10,9 @@
 // 3,000 targets.
 func BenchmarkTickOfAVMThatIsNotAsked(b *testing.B) {
 	s := New(config(14))
-	var listed []Listed
+	var listed []AnnouncedTarget
 	for i := range 3000 {
-		listed = append(listed, Listed{ID: fmt.Sprintf("t%04d", i), Ready: true, Resident: []Holding{{Ref: base}, {Ref: ref("a")}}})
+		listed = append(listed, AnnouncedTarget{ID: fmt.Sprintf("t%04d", i), Ready: true, Resident: []ResidentItem{{Ref: base}, {Ref: ref("a")}}})
 	}
 	now := start
 	s.SetTargets(now, listed)
--- a/coord/scheduler/limited.go
+++ b/coord/scheduler/limited.go
@@ -17,7 +17,7 @@
 // SetRates replaces the rates that targets limit their requests to, in requests a second. share is the
 // part of the fleet that asks this VM.
 func (s *Scheduler) SetRates(now time.Time, rates map[string]float64, share float64) []Action {
-	s.pacer.SetShare(now, share)
+	s.pacer.SetFleetShare(now, share)
 	s.pacer.SetRates(now, rates)
 	return s.settle(now)
 }
@@ -43,7 +43,7 @@
 	if !limited {
 		return false, false
 	}
-	turn := first + ratelimit.Span(float64(s.rateWaiting), perSecond)
+	turn := first + ratelimit.DurationFor(float64(s.rateWaiting), perSecond)
 	if now.Add(turn).After(r.waitsUntil()) {
 		s.refuse(r, ReasonRateLimit, s.returns.Next(now, s.rateWaiting, perSecond))
 		return true, true
@@ -55,20 +55,20 @@
 // waitsUntil is until when a request waits for a limited target.
 func (r *Request) waitsUntil() time.Time {
 	until := r.arrived.Add(max(r.Objective, lateWait))
-	if r.FirstBy.Before(until) {
-		return r.FirstBy
+	if r.FirstEventDeadline.Before(until) {
+		return r.FirstEventDeadline
 	}
 	return until
 }
 
 // eligible reports whether r may go to t, apart from t's rate.
 func (s *Scheduler) eligible(now time.Time, t *target, r *Request) bool {
-	return t.ready && t.health.open(now) && !slices.Contains(r.Resting, t.id) && (!slices.Contains(r.Exclude, t.id) || t.arriving(now, r.Ref))
+	return t.ready && t.health.open(now) && !slices.Contains(r.BackedOff, t.id) && (!slices.Contains(r.Exclude, t.id) || t.arriving(now, r.Ref))
 }
 
 // usable reports whether r may go to t now.
 func (s *Scheduler) usable(now time.Time, t *target, r *Request) bool {
-	return s.eligible(now, t, r) && s.pacer.Open(now, t.id)
+	return s.eligible(now, t, r) && s.pacer.Ready(now, t.id)
 }
 
 // rateCost is what a target's limit adds to the cost of loading an adapter there: the time between two
--- a/coord/scheduler/limited_test.go
+++ b/coord/scheduler/limited_test.go
@@ -44,7 +44,7 @@
 		b.submit(name)
 		load := b.want(ActLoad)[0]
 		assert.Equal(t, load.Target, "t2")
-		b.ordered(load, OrderBegun)
+		b.ordered(load, OrderAccepted)
 	}
 }
 
@@ -104,8 +104,8 @@
 	b := newBench(t, config(3), nil, nil)
 	b.limit(map[string]float64{"t0": 5})
 	b.after(10 * time.Second)
-	b.take(b.s.SetActing(b.now, false, nil))
-	b.take(b.s.SetActing(b.now, true, nil))
+	b.take(b.s.SetLeading(b.now, false, nil))
+	b.take(b.s.SetLeading(b.now, true, nil))
 	b.drain()
 	for range 5 {
 		b.submit("")
--- a/coord/scheduler/line_test.go
+++ b/coord/scheduler/line_test.go
@@ -48,7 +48,7 @@
 	b := newBench(t, config(4), nil, nil)
 	key := b.submit("x")
 	load := b.want(ActLoad)[0]
-	b.ordered(load, OrderBegun)
+	b.ordered(load, OrderAccepted)
 	b.after(firstColdLoad + loadMargin)
 	assert.Equal(t, b.want(ActGrant)[0].Target, load.Target)
 	b.take(b.s.Done(b.now, key, EndedBusy))
@@ -76,9 +76,9 @@
 			for _, a := range b.drain() {
 				switch a.Kind {
 				case ActLoad:
-					b.ordered(a, OrderBegun)
+					b.ordered(a, OrderAccepted)
 				case ActGrant:
-					b.s.First(b.now, a.Key)
+					b.s.FirstEvent(b.now, a.Key)
 				}
 			}
 			b.after(20 * time.Millisecond)
--- a/coord/scheduler/listing.go
+++ b/coord/scheduler/listing.go
@@ -13,7 +13,7 @@
 
 // SetTargets takes the announced targets. Those that are not listed get no requests and no
 // orders; what is known of them stays for forgetAfter.
-func (s *Scheduler) SetTargets(now time.Time, listed []Listed) []Action {
+func (s *Scheduler) SetTargets(now time.Time, listed []AnnouncedTarget) []Action {
 	seen := make(map[string]bool, len(listed))
 	for i := range listed {
 		l := &listed[i]
@@ -61,10 +61,10 @@
 	}
 }
 
-// Replaced takes the news that a target's process is gone and another one has its place,
+// TargetReplaced takes the news that a target's process is gone and another one has its place,
 // which will announce itself under an id of its own. Nothing is sent to the target or
 // believed of it any more, also if a late listing has it.
-func (s *Scheduler) Replaced(now time.Time, id string) []Action {
+func (s *Scheduler) TargetReplaced(now time.Time, id string) []Action {
 	t := s.targets[id]
 	if t == nil {
 		return nil
--- a/coord/scheduler/model_test.go
+++ b/coord/scheduler/model_test.go
@@ -50,7 +50,7 @@
 		t: t, rng: rng, seed: seed, now: start, open: map[Key]bool{}, fence: 2,
 		cfg: Config{
 			AdapterSlots: 2 + rng.IntN(4), Batch: 4, CacheTokens: 10_000, MaxLoads: 1 + rng.IntN(4),
-			ModelLoadGap: 200 * time.Millisecond, ModelLoadTime: map[string]time.Duration{"m": 600 * time.Millisecond},
+			ModelLoadInterval: 200 * time.Millisecond, ModelLoadTime: map[string]time.Duration{"m": 600 * time.Millisecond},
 		},
 	}
 	w.more.newest, w.more.flying = map[coord.AdapterRef]int64{}, map[Key]Action{}
@@ -59,7 +59,7 @@
 		w.engines = append(w.engines, newEngine(fmt.Sprintf("e%d", i), true))
 	}
 	w.list()
-	w.carryOut(w.s.SetActing(w.now, true, nil))
+	w.carryOut(w.s.SetLeading(w.now, true, nil))
 	w.carryOut(w.s.SetLease(w.now, w.fence))
 	return w
 }
@@ -80,14 +80,14 @@
 }
 
 func (w *world) list() {
-	var listed []Listed
+	var listed []AnnouncedTarget
 	for _, e := range w.engines {
 		if e == w.more.hidden {
 			continue
 		}
-		l := Listed{ID: e.id, Ready: true}
+		l := AnnouncedTarget{ID: e.id, Ready: true}
 		if e.model {
-			l.Resident = append(l.Resident, Holding{Ref: base})
+			l.Resident = append(l.Resident, ResidentItem{Ref: base})
 		}
 		listed = append(listed, l)
 	}
@@ -126,7 +126,7 @@
 			w.give(a, w.load)
 		case ActUnload:
 			w.give(a, w.unload)
-		case ActRead:
+		case ActReadReport:
 			w.later(20*time.Millisecond, func() { w.read(a) })
 		}
 	}
@@ -262,9 +262,9 @@
 				w.restart()
 			}
 			if w.rng.IntN(500) == 0 {
-				w.carryOut(w.s.SetActing(w.now, false, nil))
+				w.carryOut(w.s.SetLeading(w.now, false, nil))
 				w.step()
-				w.carryOut(w.s.SetActing(w.now, true, nil))
+				w.carryOut(w.s.SetLeading(w.now, true, nil))
 			}
 			if w.rng.IntN(400) == 0 {
 				w.loseLease()
--- a/coord/scheduler/modelengine_test.go
+++ b/coord/scheduler/modelengine_test.go
@@ -29,15 +29,15 @@
 
 func (e *engine) refreshReport(now time.Time) {
 	e.shownAt = now
-	e.shown = Report{Orders: e.orders}
+	e.shown = Report{OrderCount: e.orders}
 	if e.model {
-		e.shown.Resident = append(e.shown.Resident, Holding{Ref: base})
+		e.shown.Resident = append(e.shown.Resident, ResidentItem{Ref: base})
 	}
 	for ref, at := range e.slots {
 		if now.Before(at) {
 			e.shown.Pending = append(e.shown.Pending, ref)
 		} else {
-			e.shown.Resident = append(e.shown.Resident, Holding{Ref: ref, Version: e.versions[ref]})
+			e.shown.Resident = append(e.shown.Resident, ResidentItem{Ref: ref, Version: e.versions[ref]})
 		}
 	}
 	for ref := range e.replaced {
@@ -84,12 +84,12 @@
 	case e == nil:
 		w.done(a.Key, EndedUnreachable)
 	case !held, w.late != nil && w.now.Before(at):
-		w.done(a.Key, EndedMisplaced)
+		w.done(a.Key, EndedMisrouted)
 	case w.now.Before(at) || e.leaving[a.Ref] || e.replaced[a.Ref] != nil:
 		w.done(a.Key, EndedBusy)
 	default:
 		e.running[a.Key] = a.Ref
-		w.later(50*time.Millisecond, func() { w.s.First(w.now, a.Key) })
+		w.later(50*time.Millisecond, func() { w.s.FirstEvent(w.now, a.Key) })
 		w.later(400*time.Millisecond, func() {
 			delete(e.running, a.Key)
 			w.finishLeaving(e)
@@ -118,7 +118,7 @@
 		if generation != w.more.generation {
 			return
 		}
-		w.carryOut(w.s.Ordered(w.now, a.Target, a.Kind == ActUnload, a.Ref, r))
+		w.carryOut(w.s.OrderAnswered(w.now, a.Target, a.Kind == ActUnload, a.Ref, r))
 	})
 }
 
@@ -127,13 +127,13 @@
 	switch {
 	case e == nil:
 		w.answer(a, OrderUnknown)
-	case a.Fence < e.fence:
+	case a.FencingToken < e.fence:
 		w.answer(a, OrderRejected)
-	case a.Expect != nil && *a.Expect != e.orders, w.rng.IntN(15) == 0:
+	case a.ExpectedOrders != nil && *a.ExpectedOrders != e.orders, w.rng.IntN(15) == 0:
 		w.answer(a, OrderRejected)
 	default:
 		e.orders++
-		e.fence = a.Fence
+		e.fence = a.FencingToken
 		return true
 	}
 	return false
@@ -146,7 +146,7 @@
 	}
 	if a.Ref.IsBase() {
 		w.later(700*time.Millisecond, func() { e.model = true })
-		w.answer(a, OrderBegun)
+		w.answer(a, OrderAccepted)
 		return
 	}
 	if at, held := e.slots[a.Ref]; held {
@@ -154,7 +154,7 @@
 			w.replace(e, a)
 			return
 		}
-		w.answer(a, OrderHolds)
+		w.answer(a, OrderAlreadyApplied)
 		return
 	}
 	if e.occupied() >= w.cfg.AdapterSlots {
@@ -162,7 +162,7 @@
 	}
 	e.slots[a.Ref] = w.now.Add(firstColdLoad + w.lateness())
 	e.versions[a.Ref] = w.more.newest[a.Ref]
-	w.answer(a, OrderBegun)
+	w.answer(a, OrderAccepted)
 }
 
 // lateness is how much longer a load takes than expected.
@@ -178,9 +178,9 @@
 	if !w.takes(e, a) {
 		return
 	}
-	if e.uses(a.Ref) && a.Fence < w.fence && w.troubled() {
+	if e.uses(a.Ref) && a.FencingToken < w.fence && w.troubled() {
 		e.leaving[a.Ref] = true // an earlier holder cannot know; the engine finishes its runs
-		w.answer(a, OrderBegun)
+		w.answer(a, OrderAccepted)
 		return
 	}
 	if e.uses(a.Ref) {
@@ -189,7 +189,7 @@
 	if w.late == nil || !w.now.Before(e.slots[a.Ref]) {
 		delete(e.slots, a.Ref)
 	} // else the engine does not hold it yet, says so, and goes on loading
-	w.answer(a, OrderHolds)
+	w.answer(a, OrderAlreadyApplied)
 }
 
 // orderOfAnother is an order of the holder before: it fills a place, unless the engine
@@ -211,12 +211,12 @@
 func (w *world) read(a Action) {
 	e := w.engine(a.Target)
 	if e == nil || w.rng.IntN(8) == 0 {
-		w.later(20*time.Millisecond, func() { w.carryOut(w.s.Report(w.now, a.Target, Report{}, false)) })
+		w.later(20*time.Millisecond, func() { w.carryOut(w.s.HandleReport(w.now, a.Target, Report{}, false)) })
 		return
 	}
 	r := e.shown
 	if w.rng.IntN(2) == 0 {
-		r.Orders = e.orders // the count may be newer than the rest
+		r.OrderCount = e.orders // the count may be newer than the rest
 	}
-	w.later(30*time.Millisecond, func() { w.carryOut(w.s.Report(w.now, a.Target, r, true)) })
+	w.later(30*time.Millisecond, func() { w.carryOut(w.s.HandleReport(w.now, a.Target, r, true)) })
 }
--- a/coord/scheduler/orders.go
+++ b/coord/scheduler/orders.go
@@ -13,10 +13,10 @@
 const (
 	// OrderUnknown: no answer; it may have been taken.
 	OrderUnknown OrderResult = iota
-	// OrderBegun: being carried out.
-	OrderBegun
-	// OrderHolds: already so.
-	OrderHolds
+	// OrderAccepted: being carried out.
+	OrderAccepted
+	// OrderAlreadyApplied: already so.
+	OrderAlreadyApplied
 	// OrderRejected: not taken.
 	OrderRejected
 )
@@ -27,11 +27,11 @@
 // target has obeyed this one, it refuses the other VM's.
 func (s *Scheduler) order(now time.Time, t *target, a Action) {
 	a.Target = t.id
-	a.Fence = s.fence
+	a.FencingToken = s.fence
 	a.Basis = s.basis(now, t, a.Ref)
 	if !t.sealed {
 		expect := t.orders
-		a.Expect = &expect
+		a.ExpectedOrders = &expect
 		t.sealing = &a.Ref
 	}
 	s.act(a)
@@ -46,7 +46,7 @@
 		return
 	}
 	t.sealing = nil
-	t.sealed = result == OrderBegun || result == OrderHolds
+	t.sealed = result == OrderAccepted || result == OrderAlreadyApplied
 	if result == OrderRejected {
 		s.distrustUnsealed(now)
 	}
@@ -114,9 +114,9 @@
 	}
 }
 
-// Ordered takes the answer to an order. Answers of a time before the lease was
+// OrderAnswered takes the answer to an order. Answers of a time before the lease was
 // gained are as good: they tell what the target does.
-func (s *Scheduler) Ordered(now time.Time, id string, unload bool, ref coord.AdapterRef, result OrderResult) []Action {
+func (s *Scheduler) OrderAnswered(now time.Time, id string, unload bool, ref coord.AdapterRef, result OrderResult) []Action {
 	t := s.targets[id]
 	if t == nil {
 		return nil
@@ -135,7 +135,7 @@
 }
 
 func (s *Scheduler) modelOrdered(now time.Time, t *target, result OrderResult) {
-	if result == OrderBegun {
+	if result == OrderAccepted {
 		return
 	}
 	t.modelLoad = time.Time{}
@@ -148,7 +148,7 @@
 		return
 	}
 	sl.answered = now
-	if result == OrderHolds && sl.proven {
+	if result == OrderAlreadyApplied && sl.proven {
 		s.free(t, ref, FreedByAnswer)
 		t.keep(now, ref)
 		return
@@ -172,14 +172,14 @@
 	waited := now.Sub(sl.since)
 	sl.answered = now
 	switch result {
-	case OrderBegun:
+	case OrderAccepted:
 		sl.ordered = true
 		if waited < orderTime { // for a connection, or its turn on a busy VM
 			sl.begun = now
 			sl.readyAt = coord.Later(sl.readyAt, now.Add(sl.expected))
 			sl.due = sl.readyAt
 		}
-	case OrderHolds:
+	case OrderAlreadyApplied:
 		sl.ordered = true
 		sl.readyAt = now
 	case OrderRejected:
@@ -243,7 +243,7 @@
 	if !ok {
 		return
 	}
-	s.nextModelLoad = now.Add(s.cfg.ModelLoadGap)
+	s.nextModelLoad = now.Add(s.cfg.ModelLoadInterval)
 	t.modelLoad = now.Add(took + reportLag)
 	t.modelOrdered = model
 	s.order(now, t, Action{Kind: ActLoad, Ref: coord.AdapterRef{Model: model}})
--- a/coord/scheduler/place.go
+++ b/coord/scheduler/place.go
@@ -35,7 +35,7 @@
 	if memory := cacheShare * float64(s.cfg.CacheTokens); memory > 0 {
 		short = max(short, float64(t.tokens+r.PromptTokens+r.OutputTokens)/memory-1)
 	}
-	return time.Duration(short * float64(s.speed.Run()))
+	return time.Duration(short * float64(s.speed.MeanStreamTime()))
 }
 
 // uncached is how many tokens of the prompt t does not keep.
@@ -46,7 +46,7 @@
 func chain(r *Request, f func(k partKey, tokens int) bool) {
 	hash := uint64(0)
 	for _, p := range r.Parts {
-		hash = rendezvous.Mix(hash, rendezvous.Hash(p.ID))
+		hash = rendezvous.Weight(hash, rendezvous.Hash(p.ID))
 		if !f(partKey{ref: r.Ref, hash: hash}, p.Tokens) {
 			return
 		}
@@ -85,7 +85,7 @@
 		s.refuse(r, "deadline", 0)
 		return true
 	}
-	if now.Add(s.quickest(r)).After(r.FirstBy) {
+	if now.Add(s.quickest(r)).After(r.FirstEventDeadline) {
 		s.refuse(r, "caller_leaves", noTargetPause)
 		return true
 	}
@@ -130,7 +130,7 @@
 	if r.Ref.IsBase() || slices.ContainsFunc(s.homes[r.Ref], (*target).isReady) {
 		return s.speed.Overhead()
 	}
-	return s.speed.Overhead() + s.speed.Reading(r.PromptTokens)
+	return s.speed.Overhead() + s.speed.PrefillTime(r.PromptTokens)
 }
 
 // noTargetPause is when to come back if no target can be used, or none has room: targets
@@ -154,7 +154,7 @@
 			return
 		}
 		d := wait + s.delay(now, t, r)
-		if wait == 0 && s.pacer.Due(now, t.id) {
+		if wait == 0 && s.pacer.ProbeDue(now, t.id) {
 			d = 0
 		}
 		if best == nil || d < delay {
@@ -199,7 +199,7 @@
 func (s *Scheduler) grant(now time.Time, t *target, r *Request) {
 	priority, _ := s.urgency(now, t, r)
 	prompt := t.engine.Begin(now, s.speed, t.uncached(r), priority)
-	s.pacer.Take(now, t.id)
+	s.pacer.Consume(now, t.id)
 	t.running++
 	t.crowd.add(now)
 	g := &grant{
@@ -218,7 +218,7 @@
 		sl.lastUse = now
 		a.Version = sl.version
 		g.slot, g.version = sl, sl.version
-		g.judges, sl.judged = sl.judged, loadlimit.Start{}
+		g.judges, sl.judged = sl.judged, loadlimit.StartedLoad{}
 	}
 	s.act(a)
 }
--- a/coord/scheduler/places_test.go
+++ b/coord/scheduler/places_test.go
@@ -17,7 +17,7 @@
 	b.submit("next")
 	unload := b.drain()
 	assert.Assert(t, len(unload) == 1 && unload[0].Kind == ActUnload, "%v", unload)
-	b.ordered(unload[0], OrderHolds)
+	b.ordered(unload[0], OrderAlreadyApplied)
 	return b.s.targets["t0"]
 }
 
@@ -27,7 +27,7 @@
 func TestAnswerToALoadIsNoProof(t *testing.T) {
 	b := newBench(t, config(1), nil)
 	b.submit("a")
-	b.ordered(b.want(ActLoad)[0], OrderHolds)
+	b.ordered(b.want(ActLoad)[0], OrderAlreadyApplied)
 	key := b.want(ActGrant)[0].Key
 	b.take(b.s.Done(b.now, key, EndedAbandoned)) // its caller left: nothing ran
 	b.now = b.now.Add(2 * firstColdLoad)
@@ -35,8 +35,8 @@
 	assert.Equal(t, len(got.slots), 1, "the place is taken until a report says otherwise")
 	b.want()
 	b.after(reportLag)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}}, Orders: 2})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}}, OrderCount: 2})
 	b.want(ActLoad)
 }
 
@@ -58,8 +58,8 @@
 	key := b.submit("a")
 	b.want(ActGrant)
 	b.take(b.s.SetVersion(b.now, ref("a"), 2))
-	b.ordered(b.want(ActLoad)[0], OrderBegun)
-	b.s.First(b.now, key)
+	b.ordered(b.want(ActLoad)[0], OrderAccepted)
+	b.s.FirstEvent(b.now, key)
 	b.take(b.s.Done(b.now, key, EndedOK)) // only now does the engine begin to load
 	b.after(firstColdLoad + loadMargin)
 	assert.Equal(t, len(evicted(t, b).slots), 1)
@@ -70,20 +70,20 @@
 func TestRunIsProof(t *testing.T) {
 	b := newBench(t, config(1), nil)
 	b.submit("a")
-	b.ordered(b.want(ActLoad)[0], OrderBegun)
+	b.ordered(b.want(ActLoad)[0], OrderAccepted)
 	b.after(firstColdLoad + loadMargin)
 	key := b.want(ActGrant)[0].Key
-	b.s.First(b.now, key)
+	b.s.FirstEvent(b.now, key)
 	b.take(b.s.Done(b.now, key, EndedOK))
 	got := evicted(t, b)
 	assert.Equal(t, len(got.slots), 1)
 	assert.Equal(t, b.want(ActLoad)[0].Ref, ref("next"))
 }
 
-func listedWithBase(ids ...string) []Listed {
-	var out []Listed
+func listedWithBase(ids ...string) []AnnouncedTarget {
+	var out []AnnouncedTarget
 	for _, id := range ids {
-		out = append(out, Listed{ID: id, Ready: true, Resident: []Holding{{Ref: base}}})
+		out = append(out, AnnouncedTarget{ID: id, Ready: true, Resident: []ResidentItem{{Ref: base}}})
 	}
 	return out
 }
@@ -100,14 +100,14 @@
 	b.take(b.s.SetTargets(b.now, nil))
 	b.submit("runs")
 	b.want(ActRefuse, ActRefuse) // the one that waits for the load as well
-	b.ordered(load, OrderBegun)
+	b.ordered(load, OrderAccepted)
 	b.take(b.s.SetTargets(b.now, listedWithBase("t0")))
 	assert.Equal(t, b.s.targets["t0"].slots[ref("runs")].inUse, 1)
 	b.after(firstColdLoad + loadMargin)
 	b.submit("a")
 	assert.Equal(t, b.want(ActGrant)[0].Ref, ref("a"), "as if it had been listed all the time")
 	b.after(reportLag - firstColdLoad - loadMargin)
-	b.want(ActRead)
+	b.want(ActReadReport)
 }
 
 // TestTargetOffTheListIsForgotten: one that does not come back is.
@@ -133,16 +133,16 @@
 // that an order for another one arrives.
 func TestModelUnderWayIsNotOrderedAgain(t *testing.T) {
 	b := newBench(t, twoModels())
-	b.take(b.s.SetTargets(b.now, []Listed{{ID: "new", Ready: true}}))
-	b.want(ActRead)
-	b.report("new", Report{Busy: true, Orders: 1})
+	b.take(b.s.SetTargets(b.now, []AnnouncedTarget{{ID: "new", Ready: true}}))
+	b.want(ActReadReport)
+	b.report("new", Report{Busy: true, OrderCount: 1})
 	b.want()
 	b.after(readAgain)
-	b.want(ActRead)
-	there := Report{Resident: []Holding{{Ref: coord.AdapterRef{Model: "n"}}}, Orders: 1}
+	b.want(ActReadReport)
+	there := Report{Resident: []ResidentItem{{Ref: coord.AdapterRef{Model: "n"}}}, OrderCount: 1}
 	b.report("new", there)
 	b.after(reportLag - readAgain)
-	b.want(ActRead) // what another VM ordered shows in reports a lag apart
+	b.want(ActReadReport) // what another VM ordered shows in reports a lag apart
 	b.report("new", there)
 	b.after(time.Second)
 	b.want()
@@ -152,12 +152,12 @@
 // order for a base model, no other one is ordered there.
 func TestModelThatMayBeUnderWayIsOrderedAgain(t *testing.T) {
 	b := newBench(t, twoModels())
-	b.take(b.s.SetTargets(b.now, []Listed{{ID: "new", Ready: true}}))
-	b.want(ActRead)
+	b.take(b.s.SetTargets(b.now, []AnnouncedTarget{{ID: "new", Ready: true}}))
+	b.want(ActReadReport)
 	b.report("new", Report{})
 	first := b.want(ActLoad)[0]
 	b.ordered(first, OrderUnknown)
-	b.take(b.s.SetTargets(b.now, []Listed{{ID: "new", Ready: true}, {ID: "other", Ready: false, Resident: []Holding{{Ref: first.Ref}}}}))
+	b.take(b.s.SetTargets(b.now, []AnnouncedTarget{{ID: "new", Ready: true}, {ID: "other", Ready: false, Resident: []ResidentItem{{Ref: first.Ref}}}}))
 	b.s.targets["other"].ready = true // the model that the fewest hold is the other one now
 	b.after(reportLag)
 	b.drain()
--- a/coord/scheduler/play_test.go
+++ b/coord/scheduler/play_test.go
@@ -164,7 +164,7 @@
 		p.owned[e.id] = e
 	}
 	p.carryOut(p.s.SetTargets(p.now, p.listed()))
-	p.carryOut(p.s.SetActing(p.now, true, nil))
+	p.carryOut(p.s.SetLeading(p.now, true, nil))
 	p.carryOut(p.s.SetLease(p.now, 1))
 	p.run(3*time.Second, nil)
 	began := p.now
@@ -185,14 +185,14 @@
 	return p.out
 }
 
-func (p *player) listed() []Listed {
-	var out []Listed
+func (p *player) listed() []AnnouncedTarget {
+	var out []AnnouncedTarget
 	for id, e := range p.owned {
 		if !e.lost {
-			out = append(out, Listed{ID: id, Ready: true, Resident: []Holding{{Ref: base}}})
+			out = append(out, AnnouncedTarget{ID: id, Ready: true, Resident: []ResidentItem{{Ref: base}}})
 		}
 	}
-	slices.SortFunc(out, func(a, b Listed) int {
+	slices.SortFunc(out, func(a, b AnnouncedTarget) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -258,7 +258,7 @@
 	p.carryOut(p.s.Submit(p.now, Request{
 		Key: key, Ref: r.ref, PromptTokens: r.read, OutputTokens: r.write, Priority: r.kind.priority, Exclude: exclude,
 		Objective: max(from.Add(r.kind.objective).Sub(p.now), time.Millisecond), Deadline: r.asked.Add(r.kind.deadline),
-		FirstBy: from.Add(max(2*time.Second, 4*r.kind.objective)),
+		FirstEventDeadline: from.Add(max(2*time.Second, 4*r.kind.objective)),
 	}))
 }
 
@@ -274,7 +274,7 @@
 			p.after(message, func() { p.loadAt(a, e) })
 		case ActUnload:
 			p.after(message, func() { p.unloadAt(a, e) })
-		case ActRead:
+		case ActReadReport:
 			wait := 100 * time.Millisecond
 			if e.lost {
 				wait = 1500 * time.Millisecond
