--- a/coord/scheduler/playengine_test.go
+++ b/coord/scheduler/playengine_test.go
@@ -61,19 +61,19 @@
 }
 
 func (p *player) reportOf(e *playedEngine) {
-	r := Report{Resident: []Holding{{Ref: base}}, Orders: e.orders}
+	r := Report{Resident: []ResidentItem{{Ref: base}}, OrderCount: e.orders}
 	for ref, there := range e.places {
 		if there {
-			r.Resident = append(r.Resident, Holding{Ref: ref})
+			r.Resident = append(r.Resident, ResidentItem{Ref: ref})
 		} else {
 			r.Pending = append(r.Pending, ref)
 		}
 	}
-	p.carryOut(p.s.Report(p.now, e.id, r, !e.lost))
+	p.carryOut(p.s.HandleReport(p.now, e.id, r, !e.lost))
 }
 
 func (p *player) ordered(a Action, result OrderResult) {
-	p.after(message, func() { p.carryOut(p.s.Ordered(p.now, a.Target, a.Kind == ActUnload, a.Ref, result)) })
+	p.after(message, func() { p.carryOut(p.s.OrderAnswered(p.now, a.Target, a.Kind == ActUnload, a.Ref, result)) })
 }
 
 func (p *player) loadAt(a Action, e *playedEngine) {
@@ -101,13 +101,13 @@
 	}
 	e.places[a.Ref] = false
 	p.loads = append(p.loads, l)
-	p.ordered(a, OrderBegun)
+	p.ordered(a, OrderAccepted)
 }
 
 func (p *player) unloadAt(a Action, e *playedEngine) {
 	e.orders++
 	delete(e.places, a.Ref)
-	p.ordered(a, OrderHolds)
+	p.ordered(a, OrderAlreadyApplied)
 }
 
 // runAt lets a granted request reach its engine.
@@ -119,7 +119,7 @@
 		p.after(time.Second, func() { p.again(a, r, EndedUnreachable) })
 		return
 	case !held || !there:
-		p.again(a, r, EndedMisplaced)
+		p.again(a, r, EndedMisrouted)
 		return
 	}
 	reading := time.Duration(float64(r.read) / p.d.readPerMs * float64(time.Millisecond))
@@ -145,7 +145,7 @@
 		p.fail(a, r)
 		return
 	}
-	p.s.First(p.now, a.Key)
+	p.s.FirstEvent(p.now, a.Key)
 	o := p.out.kinds[r.kind.name]
 	switch took := p.now.Sub(r.asked); {
 	case !r.again.IsZero() && p.now.Sub(r.again) <= r.kind.objective:
--- a/coord/scheduler/reports.go
+++ b/coord/scheduler/reports.go
@@ -8,12 +8,12 @@
 
 // Report is what a target says of itself when asked. It lags by some hundred ms.
 type Report struct {
-	Resident []Holding
+	Resident []ResidentItem
 	Pending  []coord.AdapterRef
 	// Busy says that the target loads or unloads a base model.
 	Busy bool
-	// Orders is how many orders the target has taken since its start.
-	Orders uint64
+	// OrderCount is how many orders the target has taken since its start.
+	OrderCount uint64
 }
 
 // Pauses around reports.
@@ -42,11 +42,11 @@
 		return
 	}
 	t.reading = now
-	s.act(Action{Kind: ActRead, Target: t.id})
+	s.act(Action{Kind: ActReadReport, Target: t.id})
 }
 
-// Report takes a target's report, or with ok false that it could not be read.
-func (s *Scheduler) Report(now time.Time, id string, r Report, ok bool) []Action {
+// HandleReport takes a target's report, or with ok false that it could not be read.
+func (s *Scheduler) HandleReport(now time.Time, id string, r Report, ok bool) []Action {
 	t := s.targets[id]
 	if t == nil || t.reading.IsZero() {
 		return nil
@@ -61,7 +61,7 @@
 		return s.take() // distrusted again meanwhile
 	}
 	s.adopt(now, t, r, began)
-	t.countOrders(began, r.Orders)
+	t.countOrders(began, r.OrderCount)
 	if r.Busy && len(t.models) == 0 {
 		// A base model is on its way, not listed yet: another one beside it has no room.
 		t.readFrom(now.Add(readAgain))
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Scheduler) adoptResident(now time.Time, t *target, h Holding, began time.Time) {
+func (s *Scheduler) adoptResident(now time.Time, t *target, h ResidentItem, began time.Time) {
 	sl := t.slots[h.Ref]
 	if sl == nil {
 		sl = &slot{lastUse: now}
--- a/coord/scheduler/resting_test.go
+++ b/coord/scheduler/resting_test.go
@@ -12,7 +12,7 @@
 	b.ticket++
 	b.take(b.s.Submit(b.now, Request{
 		Key: Key{VM: "vm", Ticket: b.ticket}, Ref: ref(name), PromptTokens: 300, OutputTokens: 50,
-		Objective: 800 * time.Millisecond, Deadline: b.now.Add(15 * time.Second), Resting: resting,
+		Objective: 800 * time.Millisecond, Deadline: b.now.Add(15 * time.Second), BackedOff: resting,
 	}))
 }
 
--- a/coord/scheduler/scheduler.go
+++ b/coord/scheduler/scheduler.go
@@ -73,7 +73,7 @@
 	// it, counted anew with each round, and returns the callers that it refused.
 	pacer       *ratelimit.Pacer
 	rateWaiting int
-	returns     ratelimit.Returns
+	returns     ratelimit.RetryDelays
 	// settledAt is when waiting requests were last gone over.
 	settledAt time.Time
 	// searches is how many homes may still be looked for in this round.
@@ -108,21 +108,21 @@
 // Configure replaces the settings.
 func (s *Scheduler) Configure(cfg Config) {
 	s.cfg = cfg
-	s.limit.SetGuess(cfg.MaxLoads)
+	s.limit.SetInitial(cfg.MaxLoads)
 }
 
 // adoptTime is how long after it began to be asked a scheduler waits for the others to
 // tell what they run: some rounds of the roster.
 const adoptTime = 1500 * time.Millisecond
 
-// ReasonMoved is the reason of refusals by a VM that is not asked any more: the
+// ReasonNotLeader is the reason of refusals by a VM that is not asked any more: the
 // request is to be put to the one that is.
-const ReasonMoved = "scheduler_moved"
+const ReasonNotLeader = "scheduler_moved"
 
-// SetActing says whether other VMs ask this one, and which they are. One that begins
+// SetLeading says whether other VMs ask this one, and which they are. One that begins
 // reads what the targets hold, and waits for the others to tell what they run; one
 // that ends hands its waiting requests back.
-func (s *Scheduler) SetActing(now time.Time, acting bool, others []coord.VMID) []Action {
+func (s *Scheduler) SetLeading(now time.Time, acting bool, others []coord.VMID) []Action {
 	began := acting && !s.acting
 	s.acting = acting
 	if began {
@@ -140,7 +140,7 @@
 	}
 	if !acting {
 		for _, r := range s.waiting {
-			s.refuse(r, ReasonMoved, 0)
+			s.refuse(r, ReasonNotLeader, 0)
 		}
 		s.waiting = nil
 	}
@@ -181,12 +181,12 @@
 // a later call.
 func (s *Scheduler) Submit(now time.Time, r Request) []Action {
 	r.arrived = now
-	if r.FirstBy.IsZero() {
-		r.FirstBy = r.Deadline
+	if r.FirstEventDeadline.IsZero() {
+		r.FirstEventDeadline = r.Deadline
 	}
 	s.searches = 1
 	if !s.acting {
-		s.refuse(&r, ReasonMoved, 0)
+		s.refuse(&r, ReasonNotLeader, 0)
 		return s.take()
 	}
 	s.warmUp(now, r.Ref)
@@ -273,7 +273,7 @@
 	stuck := map[coord.AdapterRef]bool{}
 	for _, r := range s.waiting {
 		// What does not help one request for an adapter does not help the next.
-		if stuck[r.Ref] && s.rateWaiting == 0 && now.Before(r.FirstBy) && len(r.Exclude)+len(r.Resting) == 0 || !s.place(now, r) {
+		if stuck[r.Ref] && s.rateWaiting == 0 && now.Before(r.FirstEventDeadline) && len(r.Exclude)+len(r.BackedOff) == 0 || !s.place(now, r) {
 			rest = append(rest, r)
 			stuck[r.Ref] = true
 		}
--- a/coord/scheduler/scheduler_test.go
+++ b/coord/scheduler/scheduler_test.go
@@ -20,7 +20,7 @@
 func config(slots int) Config {
 	return Config{
 		AdapterSlots: slots, Batch: 8, CacheTokens: 100_000, MaxLoads: 8,
-		ModelLoadGap: 300 * time.Millisecond, ModelLoadTime: map[string]time.Duration{"m": time.Second},
+		ModelLoadInterval: 300 * time.Millisecond, ModelLoadTime: map[string]time.Duration{"m": time.Second},
 	}
 }
 
@@ -37,16 +37,16 @@
 // adapters given, their reports read, and the lease for a while.
 func newBench(t *testing.T, cfg Config, holds ...[]string) *bench {
 	b := &bench{t: t, s: New(cfg), now: start}
-	var listed []Listed
+	var listed []AnnouncedTarget
 	for i, names := range holds {
-		l := Listed{ID: fmt.Sprintf("t%d", i), Ready: true, Resident: []Holding{{Ref: base}}}
+		l := AnnouncedTarget{ID: fmt.Sprintf("t%d", i), Ready: true, Resident: []ResidentItem{{Ref: base}}}
 		for _, n := range names {
-			l.Resident = append(l.Resident, Holding{Ref: ref(n)})
+			l.Resident = append(l.Resident, ResidentItem{Ref: ref(n)})
 		}
 		listed = append(listed, l)
 	}
 	b.take(b.s.SetTargets(b.now, listed))
-	b.take(b.s.SetActing(b.now, true, nil))
+	b.take(b.s.SetLeading(b.now, true, nil))
 	b.reports(listed)
 	b.now = b.now.Add(reportLag)
 	b.take(b.s.SetLease(b.now, 1))
@@ -57,7 +57,7 @@
 }
 
 // reports feeds reports that agree with the announcements.
-func (b *bench) reports(listed []Listed) {
+func (b *bench) reports(listed []AnnouncedTarget) {
 	for _, l := range listed {
 		b.report(l.ID, Report{Resident: l.Resident})
 	}
@@ -104,13 +104,13 @@
 
 // ordered feeds an order's answer, and the next tick.
 func (b *bench) ordered(a Action, r OrderResult) {
-	b.take(b.s.Ordered(b.now, a.Target, a.Kind == ActUnload, a.Ref, r))
+	b.take(b.s.OrderAnswered(b.now, a.Target, a.Kind == ActUnload, a.Ref, r))
 	b.take(b.s.Tick(b.now))
 }
 
 // report feeds a target's report, and the next tick.
 func (b *bench) report(id string, r Report) {
-	b.take(b.s.Report(b.now, id, r, true))
+	b.take(b.s.HandleReport(b.now, id, r, true))
 	b.take(b.s.Tick(b.now))
 }
 
@@ -131,7 +131,7 @@
 	b.submit("x")
 	b.submit("x")
 	load := b.want(ActLoad)[0]
-	b.ordered(load, OrderBegun)
+	b.ordered(load, OrderAccepted)
 	b.after(firstColdLoad / 2)
 	b.want()
 	b.after(firstColdLoad)
@@ -146,7 +146,7 @@
 	b.submit("z")
 	unload := b.want(ActUnload)[0]
 	assert.Equal(t, unload.Ref, ref("y"), "x is in use")
-	b.ordered(unload, OrderHolds)
+	b.ordered(unload, OrderAlreadyApplied)
 	assert.Equal(t, b.want(ActLoad)[0].Ref, ref("z"))
 }
 
@@ -155,11 +155,11 @@
 	b.after(minResident)
 	b.submit("z")
 	unload := b.want(ActUnload)[0]
-	b.ordered(unload, OrderBegun)
+	b.ordered(unload, OrderAccepted)
 	b.want()
 	b.after(reportLag)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}, {Ref: ref("x")}}})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}, {Ref: ref("x")}}})
 	b.want()
 	b.after(minResident)
 	assert.Equal(t, b.want(ActUnload)[0].Ref, ref("x"), "it is still there")
@@ -184,8 +184,8 @@
 		read   bool // the report must be read before the next order
 		grant  bool // after the usual time of a load
 	}{
-		{"begun", OrderBegun, false, true},
-		{"holds already", OrderHolds, false, true},
+		{"begun", OrderAccepted, false, true},
+		{"holds already", OrderAlreadyApplied, false, true},
 		{"unknown", OrderUnknown, true, false},
 		{"rejected", OrderRejected, true, false},
 	} {
@@ -196,7 +196,7 @@
 			b.after(reportLag + firstColdLoad)
 			read, grant := false, false
 			for _, a := range b.drain() {
-				read = read || a.Kind == ActRead
+				read = read || a.Kind == ActReadReport
 				grant = grant || a.Kind == ActGrant
 			}
 			assert.Equal(t, read, row.read)
@@ -210,8 +210,8 @@
 	b.submit("x")
 	b.ordered(b.want(ActLoad)[0], OrderUnknown)
 	b.after(reportLag)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}, {Ref: ref("x")}}})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}, {Ref: ref("x")}}})
 	b.want(ActGrant)
 }
 
@@ -220,13 +220,13 @@
 	b.submit("x")
 	load := b.want(ActLoad)[0]
 	b.after(2 * time.Second) // the order waits for a free connection
-	b.take(b.s.SetActing(b.now, false, nil))
-	b.take(b.s.SetActing(b.now, true, nil))
+	b.take(b.s.SetLeading(b.now, false, nil))
+	b.take(b.s.SetLeading(b.now, true, nil))
 	b.drain()
-	b.report("t0", Report{Resident: []Holding{{Ref: base}}})
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}}})
 	b.submit("z")
 	b.want() // x may still come and takes the only place
-	b.ordered(load, OrderBegun)
+	b.ordered(load, OrderAccepted)
 	b.after(firstColdLoad + loadMargin)
 	b.want()
 	b.after(minResident)
@@ -239,13 +239,13 @@
 	b.submit("z")
 	unload := b.want(ActUnload)[0]
 	b.after(2 * time.Second)
-	b.take(b.s.SetActing(b.now, false, nil))
-	b.take(b.s.SetActing(b.now, true, nil))
+	b.take(b.s.SetLeading(b.now, false, nil))
+	b.take(b.s.SetLeading(b.now, true, nil))
 	b.drain()
-	b.report("t0", Report{Resident: []Holding{{Ref: base}, {Ref: ref("x")}}})
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}, {Ref: ref("x")}}})
 	b.submit("x")
 	b.want() // it is about to go
-	b.ordered(unload, OrderHolds)
+	b.ordered(unload, OrderAlreadyApplied)
 	b.after(0)
 	assert.Equal(t, b.want(ActLoad)[0].Ref, ref("x"))
 }
@@ -257,7 +257,7 @@
 	b.ordered(first, OrderUnknown)
 	second := b.want(ActLoad)[0]
 	assert.Assert(t, second.Target != first.Target)
-	b.ordered(second, OrderBegun)
+	b.ordered(second, OrderAccepted)
 	b.after(firstColdLoad + loadMargin)
 	b.want(ActGrant)
 }
@@ -266,8 +266,8 @@
 	b := newBench(t, config(1), []string{})
 	b.take(b.s.SetLease(b.now, 0))
 	b.take(b.s.SetLease(b.now, 1))
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}}, Pending: []coord.AdapterRef{ref("x")}})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}}, Pending: []coord.AdapterRef{ref("x")}})
 	b.submit("z")
 	b.want()
 	b.after(firstColdLoad + loadMargin)
@@ -285,17 +285,17 @@
 	b.after(time.Second)
 	b.want()
 	b.take(b.s.SetLease(b.now, 1))
-	b.want(ActRead)
+	b.want(ActReadReport)
 }
 
 func TestActingVMReadsBeforeItMayOrder(t *testing.T) {
 	b := &bench{t: t, s: New(config(2)), now: start}
-	b.take(b.s.SetTargets(b.now, []Listed{{ID: "t0", Ready: true, Resident: []Holding{{Ref: base}}}}))
+	b.take(b.s.SetTargets(b.now, []AnnouncedTarget{{ID: "t0", Ready: true, Resident: []ResidentItem{{Ref: base}}}}))
 	b.want()
-	b.take(b.s.SetActing(b.now, true, nil))
-	b.want(ActRead)
+	b.take(b.s.SetLeading(b.now, true, nil))
+	b.want(ActReadReport)
 	b.submit("x")
-	b.report("t0", Report{Resident: []Holding{{Ref: base}, {Ref: ref("x")}}})
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}, {Ref: ref("x")}}})
 	b.want(ActGrant)
 	b.submit("z")
 	b.want()
@@ -308,7 +308,7 @@
 	b.want(ActGrant)
 	b.submit("z")
 	b.take(b.s.Done(b.now, key, EndedAbandoned))
-	b.after(coord.BrokenOffTime - 1)
+	b.after(coord.AbortedRequestTime - 1)
 	b.want()
 	b.after(1)
 	assert.Equal(t, b.want(ActUnload)[0].Ref, ref("x"))
@@ -320,15 +320,15 @@
 		tell func(b *bench)
 		wait time.Duration
 	}{
-		{"all have told", func(b *bench) { b.s.Told(b.now, "other") }, 0},
+		{"all have told", func(b *bench) { b.s.RunningReported(b.now, "other") }, 0},
 		{"one is silent", func(*bench) {}, adoptTime},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			b := newBench(t, config(1), []string{"x"})
-			b.take(b.s.SetActing(b.now, false, nil))
-			b.take(b.s.SetActing(b.now, true, []coord.VMID{"other"}))
-			b.want(ActRead)
-			b.report("t0", Report{Resident: []Holding{{Ref: base}, {Ref: ref("x")}}})
+			b.take(b.s.SetLeading(b.now, false, nil))
+			b.take(b.s.SetLeading(b.now, true, []coord.VMID{"other"}))
+			b.want(ActReadReport)
+			b.report("t0", Report{Resident: []ResidentItem{{Ref: base}, {Ref: ref("x")}}})
 			b.submit("z")
 			b.after(minResident)
 			b.want() // the other VM may still tell what it runs
@@ -356,12 +356,12 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			b := newBench(t, config(1), []string{"x"})
-			b.take(b.s.SetActing(b.now, false, nil))
-			b.s.Told(b.now, "other")
+			b.take(b.s.SetLeading(b.now, false, nil))
+			b.s.RunningReported(b.now, "other")
 			b.after(max(row.ago, minResident))
-			b.take(b.s.SetActing(b.now, true, []coord.VMID{"other"}))
-			b.want(ActRead)
-			b.report("t0", Report{Resident: []Holding{{Ref: base}, {Ref: ref("x")}}})
+			b.take(b.s.SetLeading(b.now, true, []coord.VMID{"other"}))
+			b.want(ActReadReport)
+			b.report("t0", Report{Resident: []ResidentItem{{Ref: base}, {Ref: ref("x")}}})
 			b.submit("z")
 			b.want(row.wants...)
 		})
@@ -383,46 +383,46 @@
 	b := newBench(t, config(1), []string{})
 	b.submit("x")
 	b.want(ActLoad)
-	b.take(b.s.SetActing(b.now, false, nil))
-	assert.Equal(t, b.want(ActRefuse)[0].Reason, ReasonMoved)
+	b.take(b.s.SetLeading(b.now, false, nil))
+	assert.Equal(t, b.want(ActRefuse)[0].Reason, ReasonNotLeader)
 	b.submit("x")
-	assert.Equal(t, b.want(ActRefuse)[0].Reason, ReasonMoved)
+	assert.Equal(t, b.want(ActRefuse)[0].Reason, ReasonNotLeader)
 }
 
 func TestMisplacedIsReadAnew(t *testing.T) {
 	b := newBench(t, config(2), []string{"x"})
 	key := b.submit("x")
 	b.want(ActGrant)
-	b.take(b.s.Done(b.now, key, EndedMisplaced))
+	b.take(b.s.Done(b.now, key, EndedMisrouted))
 	b.submit("x")
 	b.want()
 	b.after(reportLag)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}}})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}}})
 	b.want(ActLoad)
 }
 
 func TestEmptyTargetGetsItsModelFirst(t *testing.T) {
 	b := newBench(t, config(2), []string{})
-	b.take(b.s.SetTargets(b.now, []Listed{{ID: "new", Ready: true}}))
-	b.want(ActRead)
+	b.take(b.s.SetTargets(b.now, []AnnouncedTarget{{ID: "new", Ready: true}}))
+	b.want(ActReadReport)
 	b.report("new", Report{})
 	load := b.want(ActLoad)[0]
 	assert.Equal(t, load.Ref, base)
-	b.ordered(load, OrderBegun)
+	b.ordered(load, OrderAccepted)
 	b.submit("x")
 	b.after(time.Second + reportLag)
 	b.after(time.Millisecond)
-	b.want(ActRead)
-	b.report("new", Report{Resident: []Holding{{Ref: base}}})
+	b.want(ActReadReport)
+	b.report("new", Report{Resident: []ResidentItem{{Ref: base}}})
 	assert.Equal(t, b.want(ActLoad)[0].Ref, ref("x"))
 }
 
 func TestModelLoadsKeepTheirGap(t *testing.T) {
 	cfg := config(2)
 	b := &bench{t: t, s: New(cfg), now: start}
-	b.take(b.s.SetTargets(b.now, []Listed{{ID: "a", Ready: true}, {ID: "b", Ready: true}}))
-	b.take(b.s.SetActing(b.now, true, nil))
+	b.take(b.s.SetTargets(b.now, []AnnouncedTarget{{ID: "a", Ready: true}, {ID: "b", Ready: true}}))
+	b.take(b.s.SetLeading(b.now, true, nil))
 	b.report("a", Report{})
 	b.report("b", Report{})
 	b.after(reportLag)
@@ -431,7 +431,7 @@
 	b.report("a", Report{})
 	b.report("b", Report{})
 	b.want(ActLoad)
-	b.after(cfg.ModelLoadGap)
+	b.after(cfg.ModelLoadInterval)
 	b.want(ActLoad)
 }
 
@@ -442,7 +442,7 @@
 	assert.Equal(t, load.Version, int64(7))
 	b.submit("x")
 	b.want()
-	b.ordered(load, OrderBegun)
+	b.ordered(load, OrderAccepted)
 	b.after(firstColdLoad + loadMargin)
 	assert.Equal(t, b.want(ActGrant)[0].Version, int64(7))
 }
@@ -453,14 +453,14 @@
 	b.take(b.s.SetVersion(b.now, ref("x"), 2))
 	second := b.want(ActLoad)[0]
 	assert.Equal(t, second.Version, int64(2))
-	b.ordered(second, OrderBegun)
+	b.ordered(second, OrderAccepted)
 	b.take(b.s.SetVersion(b.now, ref("x"), 3))
 	b.submit("x")
 	b.want()
 	b.after(firstColdLoad + loadMargin)
 	third := b.want(ActLoad)[0]
 	assert.Equal(t, third.Version, int64(3))
-	b.ordered(third, OrderBegun)
+	b.ordered(third, OrderAccepted)
 	b.after(firstColdLoad + loadMargin)
 	assert.Equal(t, b.want(ActGrant)[0].Version, int64(3))
 }
@@ -520,7 +520,7 @@
 	for range 20 {
 		key := b.submit("x")
 		b.after(firstEvent[b.drain()[0].Target])
-		b.s.First(b.now, key)
+		b.s.FirstEvent(b.now, key)
 		b.take(b.s.Done(b.now, key, EndedOK))
 		b.drain()
 	}
@@ -544,7 +544,7 @@
 	b.after(700 * time.Millisecond)
 	b.submit("young")
 	b.drain()
-	b.ordered(first, OrderBegun)
+	b.ordered(first, OrderAccepted)
 	var loads []string
 	for _, a := range b.drain() {
 		if a.Kind == ActLoad {
@@ -559,7 +559,7 @@
 	key := b.submit("x")
 	load := b.want(ActLoad)[0]
 	b.take(b.s.Done(b.now, key, EndedAbandoned))
-	b.ordered(load, OrderBegun)
+	b.ordered(load, OrderAccepted)
 	b.after(time.Second)
 	b.want()
 }
@@ -569,13 +569,13 @@
 	b.after(minResident)
 	b.submit("x")
 	b.want(ActGrant)
-	b.take(b.s.Silent(b.now, "vm"))
+	b.take(b.s.VMUnresponsive(b.now, "vm"))
 	assert.Equal(t, b.s.targets["t0"].running, 0)
 	b.submit("z")
 	b.after(time.Second)
 	b.want() // it may be paused, with its streams open
-	b.take(b.s.Restarted(b.now, "vm", 100))
-	b.after(coord.BrokenOffTime)
+	b.take(b.s.VMRestarted(b.now, "vm", 100))
+	b.after(coord.AbortedRequestTime)
 	b.want(ActUnload)
 }
 
@@ -584,7 +584,7 @@
 	b.submit("x")
 	b.ticket = 500
 	b.submit("x")
-	b.take(b.s.Restarted(b.now, "vm", 400))
+	b.take(b.s.VMRestarted(b.now, "vm", 400))
 	assert.Equal(t, b.s.Stats().Running, 1)
 }
 
@@ -592,8 +592,8 @@
 	b := newBench(t, config(1), []string{"x"})
 	b.after(minResident)
 	key := b.submit("x")
-	b.take(b.s.Silent(b.now, "vm"))
-	b.take(b.s.Silent(b.now, "vm"))
+	b.take(b.s.VMUnresponsive(b.now, "vm"))
+	b.take(b.s.VMUnresponsive(b.now, "vm"))
 	b.take(b.s.Done(b.now, key, EndedOK))
 	assert.Equal(t, b.s.targets["t0"].running, 0)
 	assert.Equal(t, b.s.targets["t0"].slots[ref("x")].inUse, 0)
@@ -619,7 +619,7 @@
 			Objective: 800 * time.Millisecond, Deadline: b.now.Add(15 * time.Second),
 		}))
 		load := b.want(ActLoad)[0]
-		b.ordered(load, OrderBegun)
+		b.ordered(load, OrderAccepted)
 		return load.Target
 	}
 	busy := submit("long", 20_000)
@@ -655,9 +655,9 @@
 	b := newBench(t, config(0), []string{})
 	b.take(b.s.Submit(b.now, Request{
 		Key: Key{VM: "vm", Ticket: 1}, Ref: ref("x"), PromptTokens: 10_000, Objective: 500 * time.Millisecond,
-		Deadline: b.now.Add(15 * time.Second), FirstBy: b.now.Add(2 * time.Second),
+		Deadline: b.now.Add(15 * time.Second), FirstEventDeadline: b.now.Add(2 * time.Second),
 	}))
-	quickest := b.s.speed.Overhead() + b.s.speed.Reading(10_000)
+	quickest := b.s.speed.Overhead() + b.s.speed.PrefillTime(10_000)
 	b.after(2*time.Second - quickest)
 	b.want()
 	b.after(1)
@@ -666,11 +666,11 @@
 
 func TestReportsDoNotPlaceAgainWhatWaits(t *testing.T) {
 	b := newBench(t, config(1), []string{})
-	b.take(b.s.SetActing(b.now, false, nil))
-	b.take(b.s.SetActing(b.now, true, nil))
+	b.take(b.s.SetLeading(b.now, false, nil))
+	b.take(b.s.SetLeading(b.now, true, nil))
 	b.submit("x")
-	b.want(ActRead)
-	b.take(b.s.Report(b.now, "t0", Report{Resident: []Holding{{Ref: base}}}, true))
+	b.want(ActReadReport)
+	b.take(b.s.HandleReport(b.now, "t0", Report{Resident: []ResidentItem{{Ref: base}}}, true))
 	b.want() // the reports of all engines come at once; one round serves them all
 	b.take(b.s.Tick(b.now))
 	b.want(ActLoad)
@@ -698,16 +698,16 @@
 	b.take(b.s.SetLease(b.now, 0))
 	b.take(b.s.SetLease(b.now, 1))
 	b.drain()
-	b.take(b.s.Report(b.now, "t0", Report{}, false))
+	b.take(b.s.HandleReport(b.now, "t0", Report{}, false))
 	b.submit("x")
 	b.after(2 * contestTime)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}}, Orders: 5})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}}, OrderCount: 5})
 	b.want()
 	b.after(reportLag)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}}, Orders: 5})
-	assert.Equal(t, *b.want(ActLoad)[0].Expect, uint64(5))
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}}, OrderCount: 5})
+	assert.Equal(t, *b.want(ActLoad)[0].ExpectedOrders, uint64(5))
 }
 
 // TestFirstOrderExpectsWhatTheReportShowed: another VM may have ordered a target after
@@ -717,28 +717,28 @@
 	b.take(b.s.SetLease(b.now, 0))
 	b.take(b.s.SetLease(b.now, 1))
 	b.drain()
-	b.report("t0", Report{Resident: []Holding{{Ref: base}}, Orders: 5})
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}}, OrderCount: 5})
 	b.submit("x")
 	b.want()
 	b.after(reportLag)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}}, Orders: 5})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}}, OrderCount: 5})
 	b.submit("y")
 	first := b.want(ActLoad)[0]
-	assert.Equal(t, *first.Expect, uint64(5))
+	assert.Equal(t, *first.ExpectedOrders, uint64(5))
 	b.ordered(first, OrderRejected)
 	b.want()
 	b.after(reportLag)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}, {Ref: ref("z")}}, Orders: 6})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}, {Ref: ref("z")}}, OrderCount: 6})
 	b.want()
 	b.after(reportLag)
-	b.want(ActRead)
-	b.report("t0", Report{Resident: []Holding{{Ref: base}, {Ref: ref("z")}}, Orders: 6})
+	b.want(ActReadReport)
+	b.report("t0", Report{Resident: []ResidentItem{{Ref: base}, {Ref: ref("z")}}, OrderCount: 6})
 	second := b.want(ActLoad)[0]
-	assert.Equal(t, *second.Expect, uint64(6))
-	b.ordered(second, OrderBegun)
-	assert.Assert(t, b.want(ActLoad)[0].Expect == nil, "the target obeys this VM only now")
+	assert.Equal(t, *second.ExpectedOrders, uint64(6))
+	b.ordered(second, OrderAccepted)
+	assert.Assert(t, b.want(ActLoad)[0].ExpectedOrders == nil, "the target obeys this VM only now")
 }
 
 // TestCrowdedHomeIsSpreadWhileLoadsAreScarce: one load for an adapter that many ask for
@@ -749,7 +749,7 @@
 	b := newBench(t, cfg, []string{"hot"}, []string{})
 	b.submit("cold")
 	first := b.want(ActLoad)[0]
-	b.ordered(first, OrderBegun)
+	b.ordered(first, OrderAccepted)
 	b.after(firstColdLoad + loadMargin - crowdedFor/2)
 	b.submit("other")
 	for range 60 {
@@ -777,7 +777,7 @@
 	b.after(reportLag - 1)
 	b.want()
 	b.after(1)
-	b.want(ActRead, ActRead)
+	b.want(ActReadReport, ActReadReport)
 }
 
 // TestOrdersSayWhatTheyRestOn: the log of an order tells which places were counted on what.
@@ -785,17 +785,17 @@
 	b := newBench(t, config(2), []string{"a"})
 	b.submit("b")
 	load := b.want(ActLoad)[0].Basis
-	assert.DeepEqual(t, load, Basis{Taken: 2, Slots: 2, InTransit: 1, ReportAge: contestTime})
-	b.ordered(Action{Kind: ActLoad, Target: "t0", Ref: ref("b")}, OrderBegun)
+	assert.DeepEqual(t, load, Basis{Occupied: 2, Slots: 2, InTransit: 1, ReportAge: contestTime})
+	b.ordered(Action{Kind: ActLoad, Target: "t0", Ref: ref("b")}, OrderAccepted)
 	b.after(firstColdLoad + loadMargin)
 	b.want(ActGrant)
 	b.after(minResident)
 	b.submit("c")
 	unload := b.want(ActUnload)[0]
 	assert.DeepEqual(t, unload.Basis, Basis{
-		Taken: 2, Slots: 2, InTransit: 1, Unproven: 1, Kept: true, Proven: true,
+		Occupied: 2, Slots: 2, InTransit: 1, Unconfirmed: 1, Cached: true, Confirmed: true,
 		ReportAge: contestTime + firstColdLoad + loadMargin + minResident,
 	})
-	b.ordered(unload, OrderHolds)
+	b.ordered(unload, OrderAlreadyApplied)
 	assert.Equal(t, b.s.Stats().Freed[FreedByAnswer], int64(1))
 }
--- a/coord/scheduler/slots.go
+++ b/coord/scheduler/slots.go
@@ -68,7 +68,7 @@
 	refused bool
 	// judged is the start of a load from the store that no request has shown to be in time
 	// or late; zero: there is nothing to show.
-	judged loadlimit.Start
+	judged loadlimit.StartedLoad
 }
 
 // target is one engine.
@@ -177,17 +177,17 @@
 // basis is what an order for an adapter rests on.
 func (s *Scheduler) basis(now time.Time, t *target, ref coord.AdapterRef) Basis {
 	b := Basis{
-		Taken: len(t.slots), Slots: s.cfg.AdapterSlots, InTransit: t.inTransit(), Kept: t.keeps(ref), ReportAge: -1,
+		Occupied: len(t.slots), Slots: s.cfg.AdapterSlots, InTransit: t.inTransit(), Cached: t.keeps(ref), ReportAge: -1,
 	}
 	if !t.adoptedAt.IsZero() {
 		b.ReportAge = now.Sub(t.adoptedAt)
 	}
 	if sl := t.slots[ref]; sl != nil {
-		b.Proven = sl.proven
+		b.Confirmed = sl.proven
 	}
 	for _, sl := range t.slots {
 		if sl.state == resident && !sl.proven {
-			b.Unproven++
+			b.Unconfirmed++
 		}
 	}
 	return b
@@ -207,7 +207,7 @@
 	t.homes[ref] = rest
 }
 
-func newTarget(l *Listed, homes homeIndex) *target {
+func newTarget(l *AnnouncedTarget, homes homeIndex) *target {
 	t := &target{
 		id: l.ID, hash: rendezvous.Hash(l.ID), homes: homes,
 		models: map[string]bool{},
@@ -220,7 +220,7 @@
 
 // listed takes an announcement. Before the first report it is all there is to
 // know; later, reports and answers are newer.
-func (t *target) listed(now time.Time, l *Listed) {
+func (t *target) listed(now time.Time, l *AnnouncedTarget) {
 	if t.replaced {
 		return
 	}
@@ -261,6 +261,6 @@
 // hold keeps an adapter while a request that was broken off may still run.
 func (t *target) hold(now time.Time, ref coord.AdapterRef) {
 	if sl := t.slots[ref]; sl != nil {
-		sl.heldUntil = now.Add(coord.BrokenOffTime)
+		sl.heldUntil = now.Add(coord.AbortedRequestTime)
 	}
 }
--- a/coord/scheduler/takeover_model_test.go
+++ b/coord/scheduler/takeover_model_test.go
@@ -54,7 +54,7 @@
 func (w *world) replace(e *engine, a Action) {
 	e.replaced[a.Ref] = &replacement{version: w.more.newest[a.Ref]}
 	w.goOnReplacing(e)
-	w.answer(a, OrderBegun)
+	w.answer(a, OrderAccepted)
 }
 
 func (w *world) goOnReplacing(e *engine) {
@@ -98,7 +98,7 @@
 	for r, v := range w.more.newest {
 		w.carryOut(w.s.SetVersion(w.now, r, v))
 	}
-	w.carryOut(w.s.SetActing(w.now, true, []coord.VMID{"vm"}))
+	w.carryOut(w.s.SetLeading(w.now, true, []coord.VMID{"vm"}))
 	w.later(300*time.Millisecond, func() {
 		if generation != w.more.generation {
 			return
@@ -106,7 +106,7 @@
 		for k, a := range w.more.flying {
 			w.s.Adopt(w.now, k, a.Target, a.Ref, 100, w.now.Add(3*time.Second))
 		}
-		w.s.Told(w.now, "vm")
+		w.s.RunningReported(w.now, "vm")
 	})
 	w.later(900*time.Millisecond, func() {
 		if generation == w.more.generation {
@@ -124,8 +124,8 @@
 	}
 	generation := w.more.generation
 	w.later(wait, func() {
-		if generation == w.more.generation && a.Fence != w.s.fence {
-			w.carryOut(w.s.Ordered(w.now, a.Target, a.Kind == ActUnload, a.Ref, OrderRejected))
+		if generation == w.more.generation && a.FencingToken != w.s.fence {
+			w.carryOut(w.s.OrderAnswered(w.now, a.Target, a.Kind == ActUnload, a.Ref, OrderRejected))
 			return
 		}
 		w.later(20*time.Millisecond, func() { give(a) })
--- a/coord/scheduler/types.go
+++ b/coord/scheduler/types.go
@@ -17,8 +17,8 @@
 	// MaxLoads is how many adapters may be on their way from the store, as a guess to
 	// begin with.
 	MaxLoads int
-	// ModelLoadGap is the least time between two loads of base models.
-	ModelLoadGap time.Duration
+	// ModelLoadInterval is the least time between two loads of base models.
+	ModelLoadInterval time.Duration
 	// ModelLoadTime is the expected time of such a load, by model.
 	ModelLoadTime map[string]time.Duration
 }
@@ -37,14 +37,14 @@
 	Parts    []coord.PromptPart
 	// Exclude names targets not to use, unless the adapter is on its way there.
 	Exclude []string
-	// Resting names targets not to use whatever they hold.
-	Resting []string
+	// BackedOff names targets not to use whatever they hold.
+	BackedOff []string
 	// Objective is the time within which the first event is wanted.
 	Objective time.Duration
 	// Deadline after which an answer is worthless.
 	Deadline time.Time
-	// FirstBy is when the caller leaves if no event has come; zero: at the deadline.
-	FirstBy time.Time
+	// FirstEventDeadline is when the caller leaves if no event has come; zero: at the deadline.
+	FirstEventDeadline time.Time
 
 	arrived time.Time
 	// waitsFor is the place whose load it waits for, as far as that is counted.
@@ -63,8 +63,8 @@
 	EndedOK Ending = iota
 	// EndedBusy: not run, the target had no room or was loading the adapter.
 	EndedBusy
-	// EndedMisplaced: not run, the target lacks the adapter.
-	EndedMisplaced
+	// EndedMisrouted: not run, the target lacks the adapter.
+	EndedMisrouted
 	// EndedFailed: the target failed.
 	EndedFailed
 	// EndedUnreachable: no connection could be had.
@@ -73,8 +73,8 @@
 	EndedAbandoned
 	// EndedWithdrawn: nothing was sent, since the VM that was to send knew better.
 	EndedWithdrawn
-	// EndedBroke: the target failed, and its connection broke off.
-	EndedBroke
+	// EndedDisconnected: the target failed, and its connection broke off.
+	EndedDisconnected
 )
 
 // String gives the ending's name for logs.
@@ -96,8 +96,8 @@
 	ActLoad
 	// ActUnload: order Target to unload Ref.
 	ActUnload
-	// ActRead: read Target's report and feed it to Report.
-	ActRead
+	// ActReadReport: read Target's report and feed it to Report.
+	ActReadReport
 )
 
 // Action is one thing to do. Which fields are set depends on Kind.
@@ -109,15 +109,15 @@
 	Version int64
 	// Priority of a granted request at Target; 0 is the most urgent.
 	Priority int
-	// Expect is how many orders Target must have taken so far for this one to be
+	// ExpectedOrders is how many orders Target must have taken so far for this one to be
 	// obeyed; nil: any number.
-	Expect     *uint64
-	RetryAfter time.Duration
-	Reason     string
-	// Fence is the number of the lease under which an order was decided. It must not be given
+	ExpectedOrders *uint64
+	RetryAfter     time.Duration
+	Reason         string
+	// FencingToken is the number of the lease under which an order was decided. It must not be given
 	// under another: the target's places may have been filled by another holder in between
 	// (TestPromisesBesideTakeovers, seed 126).
-	Fence uint64
+	FencingToken uint64
 	// Basis of an order.
 	Basis Basis
 }
@@ -125,30 +125,30 @@
 // Basis is what was believed of a target when an order was given, for logs: from the orders of
 // one engine and their bases it can be told which place was counted wrongly, and why.
 type Basis struct {
-	// Taken is how many of Slots places were, with the one of a load that is ordered, and
+	// Occupied is how many of Slots places were, with the one of a load that is ordered, and
 	// InTransit how many of them by adapters on their way in or out.
-	Taken, Slots, InTransit int
-	// Unproven is how many places were taken by adapters that are there by the clock only.
-	Unproven int
+	Occupied, Slots, InTransit int
+	// Unconfirmed is how many places were taken by adapters that are there by the clock only.
+	Unconfirmed int
 	// ReportAge is the time since the last report that was taken over was asked for; negative:
 	// there was none.
 	ReportAge time.Duration
-	// Kept says that a load is expected to be quick, since the engine keeps the adapter at hand.
-	Kept bool
-	// Proven says that an adapter to unload is known to be there.
-	Proven bool
+	// Cached says that a load is expected to be quick, since the engine keeps the adapter at hand.
+	Cached bool
+	// Confirmed says that an adapter to unload is known to be there.
+	Confirmed bool
 }
 
-// Listed is a target as it announces itself.
-type Listed struct {
+// AnnouncedTarget is a target as it announces itself.
+type AnnouncedTarget struct {
 	ID    string
 	Ready bool
 	// Resident adapters and models by the announcement, which lags.
-	Resident []Holding
+	Resident []ResidentItem
 }
 
-// Holding is a model or an adapter that a target holds, with its version if known.
-type Holding struct {
+// ResidentItem is a model or an adapter that a target holds, with its version if known.
+type ResidentItem struct {
 	Ref     coord.AdapterRef
 	Version int64
 }
--- a/coord/scheduler/urgency.go
+++ b/coord/scheduler/urgency.go
@@ -24,7 +24,7 @@
 func (s *Scheduler) urgency(now time.Time, t *target, r *Request) (priority int, first time.Duration) {
 	tokens := t.uncached(r)
 	priority = EnginePriority(r.Priority)
-	first = t.engine.FirstEvent(now, s.speed, tokens, priority)
+	first = t.engine.TimeToFirstEvent(now, s.speed, tokens, priority)
 	if r.Objective > 0 && now.Add(first).After(r.arrived.Add(r.Objective)) {
 		return enginePriority(r.Priority, tierLate), first
 	}
--- a/coord/servicequeue/line.go
+++ b/coord/servicequeue/line.go
@@ -46,8 +46,8 @@
 	Priority int
 	// Exclude names targets not to use.
 	Exclude []string
-	// InTimeUntil is when the answer is late; zero: it never is.
-	InTimeUntil time.Time
+	// SoftDeadline is when the answer is late; zero: it never is.
+	SoftDeadline time.Time
 	// Deadline after which it is worthless.
 	Deadline time.Time
 
@@ -73,8 +73,8 @@
 	deadline time.Time
 }
 
-// Line is the state for one service.
-type Line struct {
+// Queue is the state for one service.
+type Queue struct {
 	targets  []Target
 	running  map[string]int
 	grants   map[Key]grant
@@ -84,13 +84,13 @@
 	// pacer keeps targets within the rates that they name, and returns spreads the callers that it
 	// refused.
 	pacer   *ratelimit.Pacer
-	returns ratelimit.Returns
+	returns ratelimit.RetryDelays
 	acts    []Action
 }
 
 // New returns a Line that knows no target.
-func New() *Line {
-	return &Line{limit: newLimit(), running: map[string]int{}, grants: map[Key]grant{}, balancer: balance.New(), pacer: ratelimit.NewPacer()}
+func New() *Queue {
+	return &Queue{limit: newLimit(), running: map[string]int{}, grants: map[Key]grant{}, balancer: balance.New(), pacer: ratelimit.NewPacer()}
 }
 
 // Times of the line.
@@ -113,18 +113,18 @@
 // Reasons of refusals.
 const (
 	ReasonNoTarget = "no_target"
-	// ReasonLine: its turn would not come in time.
-	ReasonLine = "line_too_long"
+	// ReasonQueueTooLong: its turn would not come in time.
+	ReasonQueueTooLong = "line_too_long"
 )
 
 // SetTargets takes the targets that take requests.
-func (l *Line) SetTargets(now time.Time, targets []Target) []Action {
+func (l *Queue) SetTargets(now time.Time, targets []Target) []Action {
 	l.targets = targets
 	return l.settle(now)
 }
 
 // Submit asks for a target. The answer comes now or in a later call.
-func (l *Line) Submit(now time.Time, r Request) []Action {
+func (l *Queue) Submit(now time.Time, r Request) []Action {
 	r.arrived = now
 	if !l.anyFor(&r) {
 		l.refuse(&r, ReasonNoTarget, noTargetPause)
@@ -135,7 +135,7 @@
 }
 
 // Done takes the end of a granted request and how long it took, or withdraws a waiting one.
-func (l *Line) Done(now time.Time, key Key, how balance.Ending, took time.Duration) []Action {
+func (l *Queue) Done(now time.Time, key Key, how balance.Ending, took time.Duration) []Action {
 	l.waiting = slices.DeleteFunc(l.waiting, func(r *Request) bool { return r.Key == key })
 	g, granted := l.grants[key]
 	if !granted {
@@ -153,7 +153,7 @@
 }
 
 // slots of a target; 0: unknown.
-func (l *Line) slots(id string) int {
+func (l *Queue) slots(id string) int {
 	for _, t := range l.targets {
 		if t.ID == id {
 			return t.Slots
@@ -162,16 +162,16 @@
 	return 0
 }
 
-func (l *Line) release(key Key, g grant) {
+func (l *Queue) release(key Key, g grant) {
 	delete(l.grants, key)
 	if l.running[g.target]--; l.running[g.target] <= 0 {
 		delete(l.running, g.target)
 	}
 }
 
-// Drop forgets what a VM asked and runs: it is silent, or has started anew and its tickets
+// RemoveVM forgets what a VM asked and runs: it is silent, or has started anew and its tickets
 // are not below since.
-func (l *Line) Drop(now time.Time, vm coord.VMID, since uint64) []Action {
+func (l *Queue) RemoveVM(now time.Time, vm coord.VMID, since uint64) []Action {
 	l.waiting = slices.DeleteFunc(l.waiting, func(r *Request) bool { return r.VM == vm && r.Ticket < since })
 	for key, g := range l.grants {
 		if key.VM == vm && key.Ticket < since {
@@ -182,8 +182,8 @@
 	return l.settle(now)
 }
 
-// HandBack refuses all that wait for a reason: this VM is not asked any more.
-func (l *Line) HandBack(reason string) []Action {
+// RefuseWaiting refuses all that wait for a reason: this VM is not asked any more.
+func (l *Queue) RefuseWaiting(reason string) []Action {
 	for _, r := range l.waiting {
 		l.refuse(r, reason, 0)
 	}
@@ -192,19 +192,19 @@
 }
 
 // Tick does what is due. It is to be called every 10 to 20 ms.
-func (l *Line) Tick(now time.Time) []Action {
+func (l *Queue) Tick(now time.Time) []Action {
 	for key, g := range l.grants {
 		if now.After(g.deadline.Add(expireAfter)) {
 			l.release(key, g)
 			l.balancer.Done(now, g.target, balance.Abandoned, 0)
 		}
 	}
-	l.balancer.Tidy(now)
+	l.balancer.ExpireIdle(now)
 	return l.settle(now)
 }
 
 // settle gives targets to waiting requests and refuses those whose turn will not come.
-func (l *Line) settle(now time.Time) []Action {
+func (l *Queue) settle(now time.Time) []Action {
 	if len(l.waiting) == 0 {
 		return l.take()
 	}
@@ -219,7 +219,7 @@
 			continue
 		}
 		full = full || len(r.Exclude) == 0
-		if !l.giveUp(now, r, first+ratelimit.Span(float64(len(rest)), perSecond), perSecond) {
+		if !l.giveUp(now, r, first+ratelimit.DurationFor(float64(len(rest)), perSecond), perSecond) {
 			rest = append(rest, r)
 		}
 	}
@@ -230,7 +230,7 @@
 
 // rank sorts waiting requests: those that can be in time first, the most urgent and oldest
 // first among them.
-func (l *Line) rank(now time.Time) {
+func (l *Queue) rank(now time.Time) {
 	for _, r := range l.waiting {
 		r.late = l.tooLate(now, r, 0)
 	}
@@ -246,17 +246,17 @@
 }
 
 // tooLate reports whether the answer to a request whose turn comes in some time will be late.
-func (l *Line) tooLate(now time.Time, r *Request, turn time.Duration) bool {
-	return !r.InTimeUntil.IsZero() && now.Add(turn+l.limit.slow()+wayTime).After(r.InTimeUntil)
+func (l *Queue) tooLate(now time.Time, r *Request, turn time.Duration) bool {
+	return !r.SoftDeadline.IsZero() && now.Add(turn+l.limit.slow()+wayTime).After(r.SoftDeadline)
 }
 
 // grant gives a request a target, if one has room.
-func (l *Line) grant(now time.Time, r *Request) bool {
+func (l *Queue) grant(now time.Time, r *Request) bool {
 	id := l.pick(now, r)
 	if id == "" {
 		return false
 	}
-	l.pacer.Take(now, id)
+	l.pacer.Consume(now, id)
 	l.running[id]++
 	l.grants[r.Key] = grant{target: id, beside: l.running[id], deadline: r.Deadline}
 	l.act(Action{Key: r.Key, Target: id})
@@ -265,7 +265,7 @@
 
 // giveUp refuses a request whose turn, which comes in some time, would be too late for it, where
 // targets take so many requests a second.
-func (l *Line) giveUp(now time.Time, r *Request, turn time.Duration, perSecond float64) bool {
+func (l *Queue) giveUp(now time.Time, r *Request, turn time.Duration, perSecond float64) bool {
 	if !l.anyFor(r) {
 		l.refuse(r, ReasonNoTarget, noTargetPause)
 		return true
@@ -275,31 +275,31 @@
 		until = r.arrived.Add(lateWait)
 	}
 	if now.Add(turn).After(until) {
-		l.refuse(r, ReasonLine, l.pause(now, turn, perSecond))
+		l.refuse(r, ReasonQueueTooLong, l.pause(now, turn, perSecond))
 		return true
 	}
 	return false
 }
 
 // anyFor reports whether there is a target that a request may go to.
-func (l *Line) anyFor(r *Request) bool {
+func (l *Queue) anyFor(r *Request) bool {
 	return slices.ContainsFunc(l.targets, func(t Target) bool { return !slices.Contains(r.Exclude, t.ID) })
 }
 
 // pick returns the best target with room and counts the request there; "" if there is none.
 // One that is left alone for its failures is used only if all are.
-func (l *Line) pick(now time.Time, r *Request) string {
+func (l *Queue) pick(now time.Time, r *Request) string {
 	var open, room []balance.Target
 	for _, t := range l.targets {
 		if slices.Contains(r.Exclude, t.ID) {
 			continue
 		}
-		c := balance.Target{ID: t.ID, Near: t.Zone == r.Zone}
+		c := balance.Target{ID: t.ID, SameZone: t.Zone == r.Zone}
 		if l.balancer.Ejected(now, t.ID) {
 			continue
 		}
 		open = append(open, c)
-		if l.pacer.Due(now, t.ID) && l.hasRoom(now, t) {
+		if l.pacer.ProbeDue(now, t.ID) && l.hasRoom(now, t) {
 			return l.balancer.Pick(now, []balance.Target{c}, nil)
 		}
 		if l.hasRoom(now, t) {
@@ -311,19 +311,19 @@
 	}
 	for _, t := range l.targets {
 		if !slices.Contains(r.Exclude, t.ID) && l.hasRoom(now, t) {
-			room = append(room, balance.Target{ID: t.ID, Near: t.Zone == r.Zone})
+			room = append(room, balance.Target{ID: t.ID, SameZone: t.Zone == r.Zone})
 		}
 	}
 	return l.balancer.Pick(now, room, nil)
 }
 
-func (l *Line) refuse(r *Request, reason string, retry time.Duration) {
+func (l *Queue) refuse(r *Request, reason string, retry time.Duration) {
 	l.act(Action{Key: r.Key, Reason: reason, RetryAfter: retry})
 }
 
-func (l *Line) act(a Action) { l.acts = append(l.acts, a) }
+func (l *Queue) act(a Action) { l.acts = append(l.acts, a) }
 
-func (l *Line) take() []Action {
+func (l *Queue) take() []Action {
 	acts := l.acts
 	l.acts = nil
 	return acts
@@ -334,13 +334,13 @@
 	Waiting, Running int
 	// Limit is how many requests all targets get at once.
 	Limit int
-	// Work is how long a call takes at the limit.
-	Work time.Duration
+	// ServiceTime is how long a call takes at the limit.
+	ServiceTime time.Duration
 }
 
 // Stats returns a summary.
-func (l *Line) Stats() Stats {
-	s := Stats{Waiting: len(l.waiting), Running: len(l.grants), Work: l.limit.work()}
+func (l *Queue) Stats() Stats {
+	s := Stats{Waiting: len(l.waiting), Running: len(l.grants), ServiceTime: l.limit.work()}
 	for _, t := range l.targets {
 		s.Limit += l.limit.of(t.Slots)
 	}
--- a/coord/servicequeue/line_test.go
+++ b/coord/servicequeue/line_test.go
@@ -15,7 +15,7 @@
 
 // bench drives a Line with two targets of two slots each.
 type bench struct {
-	l    *Line
+	l    *Queue
 	now  time.Time
 	next uint64
 }
@@ -30,7 +30,7 @@
 	b.next++
 	k := Key{VM: "vm", Ticket: b.next}
 	return k, b.l.Submit(b.now, Request{
-		Key: k, Zone: "za", Priority: priority, Exclude: exclude, InTimeUntil: b.now.Add(inTime), Deadline: b.now.Add(deadline),
+		Key: k, Zone: "za", Priority: priority, Exclude: exclude, SoftDeadline: b.now.Add(inTime), Deadline: b.now.Add(deadline),
 	})
 }
 
@@ -83,7 +83,7 @@
 		b.submit(0, time.Second, 3*time.Second)
 	}
 	_, acts := b.submit(1, 300*time.Millisecond, 200*time.Millisecond)
-	assert.Equal(t, acts[0].Reason, ReasonLine)
+	assert.Equal(t, acts[0].Reason, ReasonQueueTooLong)
 	assert.Assert(t, acts[0].RetryAfter >= 200*time.Millisecond && acts[0].RetryAfter <= mostPause, "%v", acts[0].RetryAfter)
 	_, acts = b.submit(0, time.Second, 3*time.Second, "a", "b")
 	assert.Equal(t, acts[0].Reason, ReasonNoTarget)
@@ -110,9 +110,9 @@
 	for range 6 {
 		b.submit(0, time.Second, 3*time.Second)
 	}
-	b.l.Drop(b.now, "vm", 3)
+	b.l.RemoveVM(b.now, "vm", 3)
 	assert.Equal(t, b.l.Stats().Running, 4)
-	b.l.Drop(b.now, "other", 1000)
+	b.l.RemoveVM(b.now, "other", 1000)
 	assert.Equal(t, b.l.Stats().Running, 4)
 	b.l.Tick(b.now.Add(3*time.Second + 2*expireAfter))
 	assert.Equal(t, b.l.Stats().Running, 0)
--- a/coord/servicequeue/play_test.go
+++ b/coord/servicequeue/play_test.go
@@ -168,7 +168,7 @@
 			next++
 			k := Key{VM: "vm", Ticket: next}
 			open[k] = c
-			carryOut(l.Submit(d.now, Request{Key: k, InTimeUntil: c.asked.Add(objective), Deadline: c.asked.Add(deadline)}))
+			carryOut(l.Submit(d.now, Request{Key: k, SoftDeadline: c.asked.Add(objective), Deadline: c.asked.Add(deadline)}))
 		})
 	}
 	carryOut = func(acts []Action) {
--- a/coord/servicequeue/rates.go
+++ b/coord/servicequeue/rates.go
@@ -9,14 +9,14 @@
 
 // SetRates replaces the rates that targets limit their requests to, in requests a second. share is the
 // part of the fleet that asks this VM.
-func (l *Line) SetRates(now time.Time, rates map[string]float64, share float64) []Action {
-	l.pacer.SetShare(now, share)
+func (l *Queue) SetRates(now time.Time, rates map[string]float64, share float64) []Action {
+	l.pacer.SetFleetShare(now, share)
 	l.pacer.SetRates(now, rates)
 	return l.settle(now)
 }
 
 // anyLimited reports whether a target of the service limits its rate.
-func (l *Line) anyLimited() bool {
+func (l *Queue) anyLimited() bool {
 	return slices.ContainsFunc(l.targets, func(t Target) bool {
 		_, limited := l.pacer.Rate(t.ID)
 		return limited
@@ -24,13 +24,13 @@
 }
 
 // hasRoom reports whether a target takes one request more now.
-func (l *Line) hasRoom(now time.Time, t Target) bool {
-	return l.running[t.ID] < l.limit.of(t.Slots) && l.pacer.Open(now, t.ID)
+func (l *Queue) hasRoom(now time.Time, t Target) bool {
+	return l.running[t.ID] < l.limit.of(t.Slots) && l.pacer.Ready(now, t.ID)
 }
 
 // throughput is how many requests targets take a second, as many as they work on at once or as they limit
 // themselves to, and the expected time until one of them takes the next.
-func (l *Line) throughput(now time.Time) (perSecond float64, first time.Duration) {
+func (l *Queue) throughput(now time.Time) (perSecond float64, first time.Duration) {
 	work := l.limit.work()
 	first = ratelimit.MaxWait
 	unlimited := 0.0
@@ -57,7 +57,7 @@
 }
 
 // pause is when a refused caller is to come back whose turn would come in some time.
-func (l *Line) pause(now time.Time, turn time.Duration, perSecond float64) time.Duration {
+func (l *Queue) pause(now time.Time, turn time.Duration, perSecond float64) time.Duration {
 	if l.anyLimited() {
 		return max(l.returns.Next(now, len(l.waiting), perSecond), leastPause)
 	}
--- a/examples/embedded/main.go
+++ b/examples/embedded/main.go
@@ -17,7 +17,7 @@
 type host struct {
 	now    time.Time
 	target *dispatch.Dispatcher
-	turns  *loadpermit.Giver
+	turns  *loadpermit.Issuer
 	asked  uint64
 }
 
@@ -27,7 +27,7 @@
 	h := &host{
 		now:    time.Unix(0, 0),
 		target: dispatch.New(cfg),
-		turns:  loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, Hold: 5 * time.Second}),
+		turns:  loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, MaxHoldTime: 5 * time.Second}),
 	}
 	for i, name := range []string{"plough-notes", "plough-notes", "storm-summary"} {
 		adapter := coord.Adapter{Name: name, Version: "v1"}
@@ -51,10 +51,10 @@
 			h.run(h.target.Finished(h.now, a.Handle))
 		case dispatch.ActRefuse:
 			fmt.Printf("%4d ms  refuse request %d: %s\n", h.millis(), a.Handle, a.Cause)
-		case dispatch.ActAskTurn:
+		case dispatch.ActRequestPermit:
 			h.asked++
-			h.grant(h.turns.Ask(h.now, loadpermit.Ask{ID: h.asked, Value: a.Value}))
-		case dispatch.ActGiveTurn:
+			h.grant(h.turns.Request(h.now, loadpermit.Request{ID: h.asked, Priority: a.Priority}))
+		case dispatch.ActReturnPermit:
 			h.grant(h.turns.Cancel(h.now, h.asked))
 		case dispatch.ActLoad:
 			fmt.Printf("%4d ms  load %s\n", h.millis(), a.Name)
@@ -68,7 +68,7 @@
 
 func (h *host) grant(ids []uint64) {
 	for range ids {
-		h.run(h.target.TurnGranted(h.now))
+		h.run(h.target.PermitGranted(h.now))
 	}
 }
 
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -12,8 +12,8 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Size is how many events the ring holds.
-const Size = 1024
+// Capacity is how many events the ring holds.
+const Capacity = 1024
 
 // Trail is the audit trail of one VM. It is safe for concurrent use.
 type Trail struct {
@@ -21,7 +21,7 @@
 	log log.Interface
 
 	mu    sync.Mutex
-	ring  [Size]*schema.AuditEvent
+	ring  [Capacity]*schema.AuditEvent
 	count int
 }
 
@@ -38,14 +38,14 @@
 	Comment string
 }
 
-// Note adds a change.
-func (t *Trail) Note(now time.Time, c Change) {
+// Record adds a change.
+func (t *Trail) Record(now time.Time, c Change) {
 	e := &schema.AuditEvent{
 		UnixMs: now.UnixMilli(), Vm: t.vm, Actor: c.Actor,
 		Subject: c.Subject, Old: c.Old, New: c.New, Comment: c.Comment,
 	}
 	t.mu.Lock()
-	t.ring[t.count%Size] = e
+	t.ring[t.count%Capacity] = e
 	t.count++
 	t.mu.Unlock()
 	t.log.WithFields(log.Fields{
@@ -57,10 +57,10 @@
 func (t *Trail) Events() []*schema.AuditEvent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	first := max(0, t.count-Size)
+	first := max(0, t.count-Capacity)
 	out := make([]*schema.AuditEvent, 0, t.count-first)
 	for i := first; i < t.count; i++ {
-		out = append(out, t.ring[i%Size])
+		out = append(out, t.ring[i%Capacity])
 	}
 	return out
 }
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -110,11 +110,11 @@
 			m, chunks, err := Split(example(t))
 			assert.NilError(t, err)
 			m.Version = 3
-			s, err := Seal(m)
+			s, err := EncodeManifest(m)
 			assert.NilError(t, err)
 			sign(t, private, s)
 			row.damage(t, s, chunks)
-			read, err := ReadManifest(s)
+			read, err := DecodeManifest(s)
 			if err == nil {
 				err = trust.Verify(s)
 			}
@@ -134,7 +134,7 @@
 	assert.NilError(t, err)
 	trust, err := NewTrust(&schema.BundleTrust{PublicKeys: []string{publicA, publicB}, Required: 2})
 	assert.NilError(t, err)
-	s, err := Seal(&schema.Manifest{Version: 1})
+	s, err := EncodeManifest(&schema.Manifest{Version: 1})
 	assert.NilError(t, err)
 	id, key, err := ParsePrivateKey(privateA)
 	assert.NilError(t, err)
@@ -181,7 +181,7 @@
 	m, chunks, err := Split(example(f))
 	assert.NilError(f, err)
 	m.Version = 1
-	s, err := Seal(m)
+	s, err := EncodeManifest(m)
 	assert.NilError(f, err)
 	data, err := proto.Marshal(s)
 	assert.NilError(f, err)
@@ -192,7 +192,7 @@
 		if proto.Unmarshal(data, s) != nil {
 			return
 		}
-		if m, err := ReadManifest(s); err == nil {
+		if m, err := DecodeManifest(s); err == nil {
 			_, _ = Join(m, chunks.Get)
 		}
 	})
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -9,8 +9,8 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// MaxHalls is how many halls a bundle may name; placement keeps one bit each.
-const MaxHalls = 64
+// MaxZones is how many halls a bundle may name; placement keeps one bit each.
+const MaxZones = 64
 
 // Limits of names, which travel in URLs and at engines.
 const (
@@ -88,8 +88,8 @@
 }
 
 func (c *checker) hallCount() {
-	if n := len(c.src.Bundle.Halls); n > MaxHalls {
-		c.fs.Add(findings.Place{Section: "hall"}, "%d halls; at most %d are told apart", n, MaxHalls)
+	if n := len(c.src.Bundle.Halls); n > MaxZones {
+		c.fs.Add(findings.Position{Section: "hall"}, "%d halls; at most %d are told apart", n, MaxZones)
 	}
 }
 
--- a/internal/bundle/chunks.go
+++ b/internal/bundle/chunks.go
@@ -90,9 +90,9 @@
 	return out
 }
 
-// ReadManifest decodes the manifest that a signed one carries and checks its
+// DecodeManifest decodes the manifest that a signed one carries and checks its
 // form. It does not check signatures.
-func ReadManifest(s *schema.SignedManifest) (*schema.Manifest, error) {
+func DecodeManifest(s *schema.SignedManifest) (*schema.Manifest, error) {
 	m := &schema.Manifest{}
 	if err := proto.Unmarshal(s.GetManifest(), m); err != nil {
 		return nil, errors.Wrap(err, "decode manifest")
@@ -147,8 +147,8 @@
 	return data, nil
 }
 
-// Seal puts version, author and time into a manifest and encodes it for signing.
-func Seal(m *schema.Manifest) (*schema.SignedManifest, error) {
+// EncodeManifest puts version, author and time into a manifest and encodes it for signing.
+func EncodeManifest(m *schema.Manifest) (*schema.SignedManifest, error) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode manifest")
--- a/internal/bundle/source.go
+++ b/internal/bundle/source.go
@@ -20,11 +20,11 @@
 }
 
 // place returns where a key of an item stands.
-func (s *Source) place(kind, name, key string) findings.Place {
+func (s *Source) place(kind, name, key string) findings.Position {
 	if sec := s.places[kind+"/"+name]; sec != nil {
-		return sec.PlaceOf(key)
+		return sec.PositionOf(key)
 	}
-	return findings.Place{Section: kind + ` "` + name + `"`, Key: key}
+	return findings.Position{Section: kind + ` "` + name + `"`, Key: key}
 }
 
 // listSections maps a section's kind to the bundle's repeated field.
@@ -130,7 +130,7 @@
 func (s *Source) remember(sec *inifile.Section, fs *findings.List) bool {
 	id := sec.Kind + "/" + sec.Label
 	if before := s.places[id]; before != nil {
-		fs.Add(sec.Place, "stands already at %s:%d", before.Place.File, before.Place.Line)
+		fs.Add(sec.Position, "stands already at %s:%d", before.Position.File, before.Position.Line)
 		return false
 	}
 	s.places[id] = sec
@@ -145,11 +145,11 @@
 	}
 	name, ok := listSections[sec.Kind]
 	if !ok {
-		fs.Add(sec.Place, "unknown section%s", inifile.Suggest(sec.Kind, knownSections()))
+		fs.Add(sec.Position, "unknown section%s", inifile.Suggest(sec.Kind, knownSections()))
 		return nil
 	}
 	if sec.Label == "" {
-		fs.Add(sec.Place, `needs a name, as in [%s "name"]`, sec.Kind)
+		fs.Add(sec.Position, `needs a name, as in [%s "name"]`, sec.Kind)
 		return nil
 	}
 	item := m.Mutable(fields.ByName(name)).List().AppendMutable().Message()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -32,8 +32,8 @@
 	Base     string
 	Versions []string
 	Rank     int
-	// Halls is the placement mask of the halls that may serve it.
-	Halls     uint64
+	// ZoneMask is the placement mask of the halls that may serve it.
+	ZoneMask  uint64
 	RateLimit float64
 	Revision  int32
 }
@@ -62,7 +62,7 @@
 	Base    string
 	// Key is the placement key of the adapter and version.
 	Key       uint64
-	Halls     uint64
+	ZoneMask  uint64
 	Rank      int
 	RateLimit float64
 }
@@ -134,7 +134,7 @@
 		c.targets[ct.ID] = ct
 		if t.Kind == schema.TargetKind_TARGET_KIND_ENGINE {
 			engines = append(engines, placement.Target{
-				ID: ct.ID, Base: t.Base, Hall: t.Hall, Batch: int(t.Batch), Leaving: t.Leaving,
+				ID: ct.ID, Base: t.Base, Zone: t.Hall, Batch: int(t.Batch), Leaving: t.Leaving,
 			})
 			continue
 		}
@@ -147,12 +147,12 @@
 
 func (c *Catalog) addAdapters(b *schema.Bundle) {
 	for _, m := range b.Bases {
-		c.bases[m.Name] = &Adapter{Name: m.Name, Base: m.Name, Halls: c.Engines.HallMask(nil)}
+		c.bases[m.Name] = &Adapter{Name: m.Name, Base: m.Name, ZoneMask: c.Engines.ZoneMask(nil)}
 	}
 	for _, a := range b.Adapters {
 		c.adapters[a.Name] = &Adapter{
 			Name: a.Name, Base: a.Base, Versions: a.Versions, Rank: c.ranks[a.Priority],
-			Halls: c.Engines.HallMask(a.Halls), RateLimit: a.RateLimit, Revision: a.Revision,
+			ZoneMask: c.Engines.ZoneMask(a.Halls), RateLimit: a.RateLimit, Revision: a.Revision,
 		}
 	}
 }
@@ -186,7 +186,7 @@
 	ref := coord.Adapter{Name: a.Name, Version: version, Revision: a.Revision}
 	return Model{
 		Adapter: ref, Base: a.Base, Key: rendezvous.Hash(ref.Model()),
-		Halls: a.Halls, Rank: a.Rank, RateLimit: a.RateLimit,
+		ZoneMask: a.ZoneMask, Rank: a.Rank, RateLimit: a.RateLimit,
 	}
 }
 
--- a/internal/cli/bundle.go
+++ b/internal/cli/bundle.go
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	signed, err := bundle.Seal(m)
+	signed, err := bundle.EncodeManifest(m)
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 	if err := proto.Unmarshal(data, out.signed); err != nil {
 		return nil, errors.Wrapf(err, "%s: decode signed manifest", dir)
 	}
-	if out.manifest, err = bundle.ReadManifest(out.signed); err != nil {
+	if out.manifest, err = bundle.DecodeManifest(out.signed); err != nil {
 		return nil, errors.Wrap(err, dir)
 	}
 	out.bundle, err = bundle.Join(out.manifest, func(hash []byte) ([]byte, error) {
--- a/internal/cli/edgestatus.go
+++ b/internal/cli/edgestatus.go
@@ -19,24 +19,24 @@
 // edgeMetrics is what of an edge VM's metrics its status shows; docs/operators/edge-metrics.md
 // says what each is.
 type edgeMetrics struct {
-	ConfigVersion int64                       `json:"config_version"`
-	VMs           int64                       `json:"fleet_vms"`
-	Open          int64                       `json:"open_requests"`
-	FeedEra       int64                       `json:"feed_era"`
-	FeedRevision  int64                       `json:"feed_revision"`
-	FeedAge       int64                       `json:"feed_age_ms"`
-	Proven        int64                       `json:"feed_proven_ms"`
-	KeysWithin    int64                       `json:"keys_within_ms"`
-	PlainWaiting  int64                       `json:"plain_waiting"`
-	PlainRunning  int64                       `json:"plain_running"`
-	PlainLimit    int64                       `json:"plain_limit"`
-	Waiting       int64                       `json:"scheduler_waiting"`
-	Loads         int64                       `json:"adapter_loads"`
-	LoadsLimit    int64                       `json:"adapter_loads_limit"`
-	Suspect       int64                       `json:"contents_suspect"`
-	Teams         map[string]edge.TeamRow     `json:"teams"`
-	Held          map[string]edge.HeldContent `json:"held_contents"`
-	RateLimits    map[string]float64          `json:"rate_limits"`
+	ConfigVersion int64                          `json:"config_version"`
+	VMs           int64                          `json:"fleet_vms"`
+	Open          int64                          `json:"open_requests"`
+	FeedEra       int64                          `json:"feed_era"`
+	FeedRevision  int64                          `json:"feed_revision"`
+	FeedAge       int64                          `json:"feed_age_ms"`
+	Proven        int64                          `json:"feed_proven_ms"`
+	KeysWithin    int64                          `json:"keys_within_ms"`
+	PlainWaiting  int64                          `json:"plain_waiting"`
+	PlainRunning  int64                          `json:"plain_running"`
+	PlainLimit    int64                          `json:"plain_limit"`
+	Waiting       int64                          `json:"scheduler_waiting"`
+	Loads         int64                          `json:"adapter_loads"`
+	LoadsLimit    int64                          `json:"adapter_loads_limit"`
+	Suspect       int64                          `json:"contents_suspect"`
+	Teams         map[string]edge.TeamAccount    `json:"teams"`
+	Held          map[string]edge.BlockedContent `json:"held_contents"`
+	RateLimits    map[string]float64             `json:"rate_limits"`
 }
 
 func edgeStatusCommand() *cobra.Command {
--- a/internal/cli/explainlog.go
+++ b/internal/cli/explainlog.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	all := append(append([]explain.Line(nil), s.Around...), s.Own...)
+	all := append(append([]explain.Line(nil), s.RelatedLines...), s.RequestLines...)
 	explain.Sort(all)
 	for _, l := range all {
 		mark := " "
@@ -94,6 +94,6 @@
 			return err
 		}
 	}
-	_, err = fmt.Fprintln(w, s.Verdict)
+	_, err = fmt.Fprintln(w, s.Conclusion)
 	return err
 }
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -69,10 +69,10 @@
 func runUntilInterrupted(cmd *cobra.Command, c *dev.Cluster) error {
 	out := cmd.OutOrStdout()
 	for _, vm := range c.VMs {
-		fmt.Fprintf(out, "%s  door %s  operators %s (token %s)\n", vm.ID, vm.Door(), vm.Operators(), dev.OperatorToken)
+		fmt.Fprintf(out, "%s  door %s  operators %s (token %s)\n", vm.ID, vm.FrontendURL(), vm.OperatorURL(), dev.OperatorToken)
 	}
 	fmt.Fprintf(out, "\ntry:\n  curl -N %s/v1/chat/completions -d '%s'\n\nCtrl-C drains and stops.\n",
-		c.VMs[0].Door(), dev.ChatBody("plough-notes@v2", "which road first?", true))
+		c.VMs[0].FrontendURL(), dev.ChatBody("plough-notes@v2", "which road first?", true))
 	<-cmd.Context().Done()
 	fmt.Fprintln(out, "draining")
 	return nil
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -87,7 +87,7 @@
 	}
 	cfg := standin.EngineConfig{
 		Base: t.Base, Slots: int(t.Slots), TokenTime: f.tokenTime, Weights: weights,
-		RefusesOldFences: t.Fencing == schema.Fencing_FENCING_REFUSES,
+		RejectsStaleTokens: t.Fencing == schema.Fencing_FENCING_REFUSES,
 	}
 	if t.ChecksOrders {
 		cfg.OrderToken = f.orderToken
@@ -141,7 +141,7 @@
 		if len(parts) != 3 {
 			return nil, errors.Newf("%q is not id=hall=peer-address", t)
 		}
-		out = append(out, standin.VM{ID: parts[0], Hall: parts[1], Address: parts[2], State: "live"})
+		out = append(out, standin.VM{ID: parts[0], Zone: parts[1], Address: parts[2], State: "live"})
 	}
 	return out, nil
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -16,14 +16,14 @@
 
 // Source is what a Clock reads.
 type Source struct {
-	// Steady is a clock that may stand still in a suspension.
-	Steady func() time.Time
-	// Boot is the time since the machine's boot, suspensions included.
-	Boot func() (time.Duration, error)
+	// Monotonic is a clock that may stand still in a suspension.
+	Monotonic func() time.Time
+	// BootTime is the time since the machine's boot, suspensions included.
+	BootTime func() (time.Duration, error)
 }
 
 // System reads the machine's clocks.
-func System() Source { return Source{Steady: time.Now, Boot: bootTime} }
+func System() Source { return Source{Monotonic: time.Now, BootTime: bootTime} }
 
 func bootTime() (time.Duration, error) {
 	var t unix.Timespec
@@ -47,15 +47,15 @@
 // New returns a Clock that begins now. Where the time since the boot cannot be read it does not see
 // suspensions, and err says why.
 func New(source Source) (c *Clock, err error) {
-	c = &Clock{source: source, steady: source.Steady()}
-	c.boot, err = source.Boot()
+	c = &Clock{source: source, steady: source.Monotonic()}
+	c.boot, err = source.BootTime()
 	c.blind = err != nil
 	return c, err
 }
 
 // Now is the time, with the suspensions that Refresh has seen.
 func (c *Clock) Now() time.Time {
-	return c.source.Steady().Add(time.Duration(c.suspended.Load()))
+	return c.source.Monotonic().Add(time.Duration(c.suspended.Load()))
 }
 
 // Refresh looks for suspensions, and returns for how long this VM was suspended since the last look.
@@ -64,11 +64,11 @@
 	if c.blind {
 		return 0
 	}
-	boot, err := c.source.Boot()
+	boot, err := c.source.BootTime()
 	if err != nil {
 		return 0 // it could be read at the start, and nothing can change that
 	}
-	found := boot - c.boot - c.source.Steady().Sub(c.steady)
+	found := boot - c.boot - c.source.Monotonic().Sub(c.steady)
 	for {
 		known := c.suspended.Load()
 		if int64(found) <= known {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -21,8 +21,8 @@
 
 func (m *machine) source() Source {
 	return Source{
-		Steady: func() time.Time { defer m.run(m.slow); return m.steady },
-		Boot:   func() (time.Duration, error) { defer m.run(m.slow); return m.boot, m.fails },
+		Monotonic: func() time.Time { defer m.run(m.slow); return m.steady },
+		BootTime:  func() (time.Duration, error) { defer m.run(m.slow); return m.boot, m.fails },
 	}
 }
 
--- a/internal/confsync/adopt.go
+++ b/internal/confsync/adopt.go
@@ -16,7 +16,7 @@
 func (s *Sync) adopt(ctx context.Context, signed *schema.SignedManifest, get chunkSource) error {
 	s.fetch.Lock()
 	defer s.fetch.Unlock()
-	m, err := bundle.ReadManifest(signed)
+	m, err := bundle.DecodeManifest(signed)
 	if err != nil {
 		return err
 	}
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -35,14 +35,14 @@
 	CallAddress(ctx context.Context, address string, c *schema.Call) (*schema.Reply, error)
 }
 
-// Roster is what confsync needs of the membership view.
-type Roster interface {
+// Membership is what confsync needs of the membership view.
+type Membership interface {
 	// Others returns the other listed VMs.
 	Others() []coord.VMID
-	// Watcher reports whether this VM reads the platform for its hall.
-	Watcher() bool
-	// TellFirst returns the VMs to tell of a new version at once.
-	TellFirst() []coord.VMID
+	// IsWatcher reports whether this VM reads the platform for its hall.
+	IsWatcher() bool
+	// PeersToNotify returns the VMs to tell of a new version at once.
+	PeersToNotify() []coord.VMID
 }
 
 // Config holds what a Sync works with.
@@ -62,10 +62,10 @@
 	OnBundle func(m *schema.Manifest, b *schema.Bundle)
 	// OnList is called with each newer VM list.
 	OnList func(l *schema.VMList)
-	// OnRefused is called for each manifest that was not accepted.
-	OnRefused func(err error)
-	// Beat returns this VM's heartbeat.
-	Beat func() *schema.Heartbeat
+	// OnRejected is called for each manifest that was not accepted.
+	OnRejected func(err error)
+	// Heartbeat returns this VM's heartbeat.
+	Heartbeat func() *schema.Heartbeat
 }
 
 // Sync holds the newest bundle and list of one VM. Lock order: fetch, then mu.
@@ -73,12 +73,12 @@
 // makes fetches of bundles one at a time.
 type Sync struct {
 	cfg    Config
-	roster Roster
+	roster Membership
 
 	fetch sync.Mutex
 
 	mu       sync.Mutex
-	gate     confver.Gate
+	gate     confver.Tracker
 	manifest *schema.SignedManifest
 	chunks   bundle.Chunks
 	list     *schema.VMList
@@ -91,7 +91,7 @@
 const pullQueue = 16
 
 // New returns a Sync that holds nothing.
-func New(cfg Config, roster Roster) *Sync {
+func New(cfg Config, roster Membership) *Sync {
 	return &Sync{
 		cfg: cfg, roster: roster, chunks: bundle.Chunks{}, list: &schema.VMList{},
 		rng:   rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
@@ -198,19 +198,19 @@
 		revision = value.Revision
 		if err := s.takeValue(ctx, value); err != nil {
 			// Its chunks may only be late: read it again, watched or not.
-			s.cfg.OnRefused(err)
+			s.cfg.OnRejected(err)
 			revision = 0
 			wait.Sleep(ctx, s.jitter(refusedRead))
 			continue
 		}
-		if in, _ := s.Versions(); !s.roster.Watcher() && in > 0 {
+		if in, _ := s.Versions(); !s.roster.IsWatcher() && in > 0 {
 			wait.Sleep(ctx, s.jitter(idleRead))
 		}
 	}
 }
 
 func (s *Sync) readManifest(ctx context.Context, revision uint64) (platform.Value, error) {
-	if s.roster.Watcher() && revision > 0 {
+	if s.roster.IsWatcher() && revision > 0 {
 		return s.cfg.Platform.Watch(ctx, bundle.ManifestKey, revision, s.cfg.Watch)
 	}
 	return s.cfg.Platform.Get(ctx, bundle.ManifestKey)
--- a/internal/confsync/lists.go
+++ b/internal/confsync/lists.go
@@ -34,7 +34,7 @@
 func (s *Sync) listLoop(ctx context.Context) {
 	for {
 		pause := s.cfg.ListPoll
-		if _, version := s.Versions(); version > 0 && !s.roster.Watcher() {
+		if _, version := s.Versions(); version > 0 && !s.roster.IsWatcher() {
 			pause = s.jitter(idleRead)
 		}
 		if !wait.Sleep(ctx, pause) {
--- a/internal/confsync/peers.go
+++ b/internal/confsync/peers.go
@@ -9,7 +9,7 @@
 
 // tell sends the new versions to those who should know at once.
 func (s *Sync) tell(ctx context.Context) {
-	for _, vm := range s.roster.TellFirst() {
+	for _, vm := range s.roster.PeersToNotify() {
 		go s.compare(ctx, vm)
 	}
 }
@@ -18,15 +18,15 @@
 func (s *Sync) compare(ctx context.Context, vm coord.VMID) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	reply, err := s.cfg.Peers.Call(ctx, vm, &schema.Call{Body: &schema.Call_Heartbeat{Heartbeat: s.cfg.Beat()}})
+	reply, err := s.cfg.Peers.Call(ctx, vm, &schema.Call{Body: &schema.Call_Heartbeat{Heartbeat: s.cfg.Heartbeat()}})
 	if err != nil {
 		return
 	}
-	s.Heard(vm, reply.BundleVersion, reply.ListVersion)
+	s.ObserveVersions(vm, reply.BundleVersion, reply.ListVersion)
 }
 
-// Heard takes the versions that another VM named and catches up if behind.
-func (s *Sync) Heard(vm coord.VMID, bundleVersion, listVersion uint64) {
+// ObserveVersions takes the versions that another VM named and catches up if behind.
+func (s *Sync) ObserveVersions(vm coord.VMID, bundleVersion, listVersion uint64) {
 	s.mu.Lock()
 	behind := s.gate.Behind(bundleVersion) || listVersion > s.list.GetVersion()
 	s.mu.Unlock()
@@ -60,7 +60,7 @@
 		return
 	}
 	if err := s.adopt(ctx, reply.GetManifest(), s.chunkFromVM(vm)); err != nil {
-		s.cfg.OnRefused(err)
+		s.cfg.OnRejected(err)
 	}
 }
 
--- a/internal/dev/catchup_bench_test.go
+++ b/internal/dev/catchup_bench_test.go
@@ -14,7 +14,7 @@
 // has it. The owner of its target may not have it yet: it waits until its bundle
 // has reached the sender's version, and then decides.
 func BenchmarkCatchUp(b *testing.B) {
-	c, err := Start(Options{VMs: 7, LoadTime: time.Millisecond, Level: "error", Change: func(bundle *schema.Bundle) {
+	c, err := Start(Options{VMs: 7, LoadTime: time.Millisecond, Level: "error", ModifyBundle: func(bundle *schema.Bundle) {
 		bundle.Limits.LoadsPerSecond = 1000
 	}})
 	assert.NilError(b, err)
--- a/internal/dev/check.go
+++ b/internal/dev/check.go
@@ -135,7 +135,7 @@
 func expected(model, text string) string { return model + " says " + text }
 
 func (c *Cluster) chat(ctx context.Context, vm int, model, text string, stream bool) error {
-	r, err := Post(ctx, c.VMs[vm%len(c.VMs)].Door()+chatPath, ChatBody(model, text, stream), nil)
+	r, err := Post(ctx, c.VMs[vm%len(c.VMs)].FrontendURL()+chatPath, ChatBody(model, text, stream), nil)
 	if err != nil {
 		return err
 	}
@@ -217,7 +217,7 @@
 }
 
 func (c *Cluster) expectError(ctx context.Context, path string, body []byte, status int, code string) error {
-	r, err := Post(ctx, c.VMs[0].Door()+path, body, nil)
+	r, err := Post(ctx, c.VMs[0].FrontendURL()+path, body, nil)
 	if err != nil {
 		return err
 	}
@@ -247,7 +247,7 @@
 }
 
 func checkService(ctx context.Context, c *Cluster) error {
-	r, err := Post(ctx, c.VMs[2%len(c.VMs)].Door()+"/services/tickets/jobs?lane=3", []byte("salt the bridge"), nil)
+	r, err := Post(ctx, c.VMs[2%len(c.VMs)].FrontendURL()+"/services/tickets/jobs?lane=3", []byte("salt the bridge"), nil)
 	if err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 	header := http.Header{"Idempotency-Key": {"check-1"}}
 	var bodies []string
 	for _, vm := range c.VMs {
-		r, err := Post(ctx, vm.Door()+"/services/tickets/jobs", []byte(ticket), header)
+		r, err := Post(ctx, vm.FrontendURL()+"/services/tickets/jobs", []byte(ticket), header)
 		if err != nil {
 			return err
 		}
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -32,13 +32,13 @@
 	Level string
 	// DrainMs is how long a VM keeps its door open when it stops.
 	DrainMs int64
-	// Change alters the example bundle before it is published.
-	Change func(*schema.Bundle)
+	// ModifyBundle alters the example bundle before it is published.
+	ModifyBundle func(*schema.Bundle)
 	// TLSDir is where certificates are written when VMs use TLS; empty for no
 	// TLS.
 	TLSDir string
 	// Dial returns how a VM reaches others; nil for TCP.
-	Dial func(vm string) node.Dial
+	Dial func(vm string) node.DialFunc
 }
 
 func (o *Options) fill() {
@@ -149,8 +149,8 @@
 		return err
 	}
 	c.bundle = src.Bundle
-	if c.opts.Change != nil {
-		c.opts.Change(c.bundle)
+	if c.opts.ModifyBundle != nil {
+		c.opts.ModifyBundle(c.bundle)
 	}
 	for _, t := range c.bundle.Targets {
 		if t.Address, err = c.serve(c.target(t)); err != nil {
@@ -168,7 +168,7 @@
 	}
 	cfg := standin.EngineConfig{
 		Base: t.Base, Slots: int(t.Slots), TokenTime: c.opts.TokenTime, Weights: c.Weights,
-		RefusesOldFences: t.Fencing == schema.Fencing_FENCING_REFUSES,
+		RejectsStaleTokens: t.Fencing == schema.Fencing_FENCING_REFUSES,
 	}
 	if t.ChecksOrders {
 		cfg.OrderToken = orderToken
@@ -202,7 +202,7 @@
 		if slices.Contains(except, vm) {
 			continue
 		}
-		list = append(list, standin.VM{ID: vm.ID, Hall: vm.Settings.Vm.Hall, Address: vm.Settings.Peer.Listen, State: "live"})
+		list = append(list, standin.VM{ID: vm.ID, Zone: vm.Settings.Vm.Hall, Address: vm.Settings.Peer.Listen, State: "live"})
 	}
 	c.Platform.SetVMs(list)
 }
@@ -224,7 +224,7 @@
 	serving := 0
 	for _, vm := range c.VMs {
 		s := vm.Node.Status()
-		if !s.Ready || s.BundleVersion != c.version || !vm.Node.RecordsSettled() {
+		if !s.Ready || s.BundleVersion != c.version || !vm.Node.RecordsSynced() {
 			return false
 		}
 		for _, t := range s.Targets {
--- a/internal/dev/engine_faults_test.go
+++ b/internal/dev/engine_faults_test.go
@@ -34,16 +34,16 @@
 	}{
 		{name: "no fault", status: http.StatusOK},
 		{name: "a load fails twice", faults: standin.EngineFaults{FailLoads: 2}, status: http.StatusOK},
-		{name: "a stream is cut and resumed", faults: standin.EngineFaults{CutAfter: 1, CutEvents: 2}, stream: true, status: http.StatusOK},
-		{name: "a stream is cut before its first event", faults: standin.EngineFaults{CutAfter: 1, NoResume: true}, stream: true, status: http.StatusBadGateway, code: "answer_cut", notRun: "unknown"},
-		{name: "a stream is cut and cannot be resumed", faults: standin.EngineFaults{CutAfter: 1, CutEvents: 2, NoResume: true}, stream: true},
+		{name: "a stream is cut and resumed", faults: standin.EngineFaults{TruncateStreams: 1, TruncateAfterEvents: 2}, stream: true, status: http.StatusOK},
+		{name: "a stream is cut before its first event", faults: standin.EngineFaults{TruncateStreams: 1, NoResume: true}, stream: true, status: http.StatusBadGateway, code: "answer_cut", notRun: "unknown"},
+		{name: "a stream is cut and cannot be resumed", faults: standin.EngineFaults{TruncateStreams: 1, TruncateAfterEvents: 2, NoResume: true}, stream: true},
 		{name: "whole answer of another adapter", faults: standin.EngineFaults{WrongAdapter: true}, status: http.StatusBadGateway, code: "wrong_adapter_answered", notRun: "unknown"},
 		{name: "stream of another adapter", faults: standin.EngineFaults{WrongAdapter: true}, stream: true, status: http.StatusBadGateway, code: "wrong_adapter_answered", notRun: "unknown"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			c, _ := startFleet(t, Options{TokenTime: time.Millisecond})
 			c.setFaults(row.faults)
-			r, err := Post(t.Context(), c.VMs[0].Door()+chatPath, ChatBody(model, "clear or snow", row.stream), nil)
+			r, err := Post(t.Context(), c.VMs[0].FrontendURL()+chatPath, ChatBody(model, "clear or snow", row.stream), nil)
 			if row.status == 0 {
 				assert.ErrorContains(t, err, "EOF")
 				c.assertPromises(t)
@@ -98,18 +98,18 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			// A first call leaves a connection open for the next to reuse.
-			_, err := Post(t.Context(), c.VMs[0].Door()+"/services/tickets/x", []byte("warm"), nil)
+			_, err := Post(t.Context(), c.VMs[0].FrontendURL()+"/services/tickets/x", []byte("warm"), nil)
 			assert.NilError(t, err)
 			service.DropAfterRun(1)
 			header := http.Header{}
 			if row.key != "" {
 				header.Set("Idempotency-Key", row.key)
 			}
-			r, err := Post(t.Context(), c.VMs[0].Door()+"/services/tickets/x", []byte(row.name), header)
+			r, err := Post(t.Context(), c.VMs[0].FrontendURL()+"/services/tickets/x", []byte(row.name), header)
 			assert.NilError(t, err)
 			assert.Equal(t, gjson.GetBytes(r.body, "error.not_run").String(), "unknown", "%s", r.body)
 			if row.key != "" {
-				r, err = Post(t.Context(), c.VMs[1].Door()+"/services/tickets/x", []byte(row.name), header)
+				r, err = Post(t.Context(), c.VMs[1].FrontendURL()+"/services/tickets/x", []byte(row.name), header)
 				assert.NilError(t, err)
 				assert.Equal(t, gjson.GetBytes(r.body, "error.code").String(), "outcome_unknown", "%s", r.body)
 			}
@@ -134,7 +134,7 @@
 	})
 	for range 2 {
 		c.Services["glostrup-app-1"].DropAfterRun(1)
-		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, c.VMs[0].Door()+"/services/tickets/x", http.NoBody)
+		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, c.VMs[0].FrontendURL()+"/services/tickets/x", http.NoBody)
 		assert.NilError(t, err)
 		resp, err := http.DefaultClient.Do(req)
 		assert.NilError(t, err)
@@ -151,7 +151,7 @@
 	c, _ := startFleet(t, Options{})
 	header := http.Header{"Idempotency-Key": {"twice"}}
 	for i, want := range []int{http.StatusOK, http.StatusUnprocessableEntity} {
-		r, err := Post(t.Context(), c.VMs[i].Door()+"/services/tickets/x", []byte{byte('a' + i)}, header)
+		r, err := Post(t.Context(), c.VMs[i].FrontendURL()+"/services/tickets/x", []byte{byte('a' + i)}, header)
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, want, "%s", r.body)
 	}
--- a/internal/dev/faults_test.go
+++ b/internal/dev/faults_test.go
@@ -33,12 +33,12 @@
 	if opts.LoadTime == 0 {
 		opts.LoadTime = 5 * time.Millisecond
 	}
-	opts.Change = func(b *schema.Bundle) { b.Limits.LoadsPerSecond = 50 }
+	opts.ModifyBundle = func(b *schema.Bundle) { b.Limits.LoadsPerSecond = 50 }
 	c, err := Start(opts)
 	assert.NilError(t, err)
 	t.Cleanup(c.Close)
 	for _, vm := range c.VMs {
-		n.Name(vm.ID, vm.Settings.Peer.Listen)
+		n.Register(vm.ID, vm.Settings.Peer.Listen)
 	}
 	return c, n
 }
@@ -49,7 +49,7 @@
 		var out []string
 		for _, vm := range c.VMs {
 			if vm != down.Load() {
-				out = append(out, vm.Door())
+				out = append(out, vm.FrontendURL())
 			}
 		}
 		return out
@@ -120,7 +120,7 @@
 func TestRollingRestart(t *testing.T) {
 	c, _ := startFleet(t, Options{DrainMs: 200, TokenTime: time.Millisecond})
 	var down atomic.Pointer[VM]
-	load := c.StartLoad(24, c.models()[:restartModels], c.allDoors(&down))
+	load := c.StartLoadGenerator(24, c.models()[:restartModels], c.allDoors(&down))
 	for _, vm := range c.VMs {
 		before := load.OK.Load()
 		eventually(t, "answers before the restart", func() bool { return load.OK.Load() > before+50 })
@@ -151,7 +151,7 @@
 		}
 	}
 	var down atomic.Pointer[VM]
-	load := c.StartLoad(16, c.models(), c.allDoors(&down))
+	load := c.StartLoadGenerator(16, c.models(), c.allDoors(&down))
 	eventually(t, "answers", func() bool { return load.OK.Load() > 100 })
 	down.Store(victim)
 	began := time.Now()
@@ -224,16 +224,16 @@
 func TestPartition(t *testing.T) {
 	c, network := startFleet(t, Options{TokenTime: time.Millisecond})
 	var down atomic.Pointer[VM]
-	load := c.StartLoad(16, c.models(), c.allDoors(&down))
+	load := c.StartLoadGenerator(16, c.models(), c.allDoors(&down))
 	eventually(t, "answers", func() bool { return load.OK.Load() > 100 })
-	network.Split(map[string]int{"entry-3": 1})
+	network.Partition(map[string]int{"entry-3": 1})
 	eventually(t, "each side to own every engine it can", func() bool {
 		return len(c.VMs[2].Node.Status().Targets) >= 2
 	})
 	before := load.OK.Load()
 	eventually(t, "answers in the partition", func() bool { return load.OK.Load() > before+100 })
 	keyedInPartition(t, c)
-	network.Split(map[string]int{})
+	network.Partition(map[string]int{})
 	eventually(t, "one owner each", func() bool { return len(c.VMs[2].Node.Status().Targets) > 0 && c.soleOwners() })
 	load.Stop()
 	t.Log(load)
@@ -248,7 +248,7 @@
 	header := http.Header{"Idempotency-Key": {"partition-1"}}
 	statuses := make([]int, len(c.VMs))
 	for i, vm := range c.VMs {
-		r, err := Post(t.Context(), vm.Door()+"/services/tickets/jobs", []byte(ticket), header)
+		r, err := Post(t.Context(), vm.FrontendURL()+"/services/tickets/jobs", []byte(ticket), header)
 		assert.NilError(t, err)
 		statuses[i] = r.status
 		if i == 2 {
@@ -465,7 +465,7 @@
 func TestCallerLeaves(t *testing.T) {
 	c, _ := startFleet(t, Options{TokenTime: 20 * time.Millisecond})
 	ctx, cancel := context.WithCancel(t.Context())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.VMs[0].Door()+chatPath,
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.VMs[0].FrontendURL()+chatPath,
 		strings.NewReader(string(ChatBody("plough-notes@v1", strings.Repeat("word ", 500), true))))
 	assert.NilError(t, err)
 	resp, err := http.DefaultClient.Do(req)
--- a/internal/dev/load.go
+++ b/internal/dev/load.go
@@ -11,8 +11,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// Load is callers that keep asking. It counts how their requests end.
-type Load struct {
+// LoadGenerator is callers that keep asking. It counts how their requests end.
+type LoadGenerator struct {
 	// OK counts right and whole answers, Refused answers that say not run,
 	// Unknown answers that say so, Aborted connections that broke before an
 	// answer was whole, and Wrong everything else.
@@ -25,11 +25,11 @@
 	wg    sync.WaitGroup
 }
 
-// StartLoad starts callers that spread their requests over the doors. doors is
+// StartLoadGenerator starts callers that spread their requests over the doors. doors is
 // asked before each request.
-func (c *Cluster) StartLoad(callers int, models []string, doors func() []string) *Load {
+func (c *Cluster) StartLoadGenerator(callers int, models []string, doors func() []string) *LoadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Load{stop: cancel}
+	l := &LoadGenerator{stop: cancel}
 	for i := range callers {
 		l.wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
@@ -44,7 +44,7 @@
 // loadTimeout bounds one request of a load.
 const loadTimeout = 20 * time.Second
 
-func (l *Load) ask(url, model, text string, stream bool) {
+func (l *LoadGenerator) ask(url, model, text string, stream bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
 	r, err := Post(ctx, url+chatPath, ChatBody(model, text, stream), nil)
@@ -70,7 +70,7 @@
 	l.OK.Add(1)
 }
 
-func (l *Load) takeError(r reply) {
+func (l *LoadGenerator) takeError(r reply) {
 	switch gjson.GetBytes(r.body, "error.not_run").String() {
 	case "true":
 		l.Refused.Add(1)
@@ -82,7 +82,7 @@
 	}
 }
 
-func (l *Load) wrong(what string) {
+func (l *LoadGenerator) wrong(what string) {
 	l.Wrong.Add(1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +92,7 @@
 }
 
 // note counts a refusal by its code.
-func (l *Load) note(code string) {
+func (l *LoadGenerator) note(code string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.codes == nil {
@@ -102,7 +102,7 @@
 }
 
 // String sums the load up.
-func (l *Load) String() string {
+func (l *LoadGenerator) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return fmt.Sprintf("ok %d, refused %d %v, unknown %d, aborted %d, wrong %d",
@@ -110,14 +110,14 @@
 }
 
 // FirstWrong says what the first wrong end was.
-func (l *Load) FirstWrong() string {
+func (l *LoadGenerator) FirstWrong() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.first
 }
 
 // Stop lets requests that run end, and stops.
-func (l *Load) Stop() {
+func (l *LoadGenerator) Stop() {
 	l.stop()
 	l.wg.Wait()
 }
--- a/internal/dev/openai_test.go
+++ b/internal/dev/openai_test.go
@@ -17,7 +17,7 @@
 func TestOpenAIClient(t *testing.T) {
 	c, _ := startFleet(t, Options{TokenTime: time.Millisecond})
 	client := openai.NewClient(
-		option.WithBaseURL(c.VMs[0].Door()+"/v1"), option.WithAPIKey("caller"), option.WithMaxRetries(0))
+		option.WithBaseURL(c.VMs[0].FrontendURL()+"/v1"), option.WithAPIKey("caller"), option.WithMaxRetries(0))
 	const model = "plough-notes@v2"
 	chat := openai.ChatCompletionNewParams{
 		Model:    model,
--- a/internal/dev/pairs_test.go
+++ b/internal/dev/pairs_test.go
@@ -27,8 +27,8 @@
 		func(_ *testing.T, c *Cluster, _ *Network) { c.VMs[1].Kill() },
 		func(t *testing.T, c *Cluster, _ *Network) { assert.NilError(t, c.Restart(c.VMs[1])) }},
 	{"cut of a VM",
-		func(_ *testing.T, _ *Cluster, n *Network) { n.Split(map[string]int{"entry-3": 1}) },
-		func(_ *testing.T, _ *Cluster, n *Network) { n.Split(map[string]int{}) }},
+		func(_ *testing.T, _ *Cluster, n *Network) { n.Partition(map[string]int{"entry-3": 1}) },
+		func(_ *testing.T, _ *Cluster, n *Network) { n.Partition(map[string]int{}) }},
 	{"restart of all engines",
 		func(_ *testing.T, c *Cluster, _ *Network) {
 			for _, e := range c.Engines {
@@ -41,7 +41,7 @@
 		func(_ *testing.T, c *Cluster, _ *Network) { c.Platform.SetDown(false) }},
 	{"loads fail and streams are cut",
 		func(_ *testing.T, c *Cluster, _ *Network) {
-			c.setFaults(standin.EngineFaults{FailLoads: 3, CutAfter: 5, CutEvents: 2})
+			c.setFaults(standin.EngineFaults{FailLoads: 3, TruncateStreams: 5, TruncateAfterEvents: 2})
 		},
 		func(_ *testing.T, c *Cluster, _ *Network) { c.setFaults(standin.EngineFaults{}) }},
 }
@@ -90,7 +90,7 @@
 	c.VMs[1].Settings.Platform.Seeds = []string{c.VMs[0].Settings.Peer.Listen}
 	urls := c.allDoors(new(atomic.Pointer[VM]))() // a VM starts anew at its address
 	doors := func() []string { return urls }
-	load := c.StartLoad(8, c.models(), doors)
+	load := c.StartLoadGenerator(8, c.models(), doors)
 	keyed := c.startTickets(doors)
 	eventually(t, "answers before", func() bool { return load.OK.Load() > 30 })
 	a.begin(t, c, network)
--- a/internal/dev/partition.go
+++ b/internal/dev/partition.go
@@ -26,16 +26,16 @@
 	return &Network{side: map[string]int{}, names: map[string]string{}, open: map[net.Conn]link{}}
 }
 
-// Name tells the network which VM listens at an address.
-func (n *Network) Name(vm, address string) {
+// Register tells the network which VM listens at an address.
+func (n *Network) Register(vm, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.names[address] = vm
 }
 
-// Split puts each VM on a side; VMs on different sides cannot reach each other.
+// Partition puts each VM on a side; VMs on different sides cannot reach each other.
 // VMs that are not named are on side 0, so an empty map heals the network.
-func (n *Network) Split(side map[string]int) {
+func (n *Network) Partition(side map[string]int) {
 	n.mu.Lock()
 	n.side = side
 	var cut []net.Conn
@@ -55,7 +55,7 @@
 var errCut = errors.New("the network is cut")
 
 // Dial returns how a VM reaches others.
-func (n *Network) Dial(vm string) node.Dial {
+func (n *Network) Dial(vm string) node.DialFunc {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		if n.isCut(vm, address) {
 			return nil, errCut
--- a/internal/dev/path_bench_test.go
+++ b/internal/dev/path_bench_test.go
@@ -23,7 +23,7 @@
 // measured is the path.
 func pathFleet(b *testing.B, tokenTime time.Duration) *Cluster {
 	b.Helper()
-	c, err := Start(Options{LoadTime: time.Millisecond, TokenTime: tokenTime, Level: "error", Change: func(bundle *schema.Bundle) {
+	c, err := Start(Options{LoadTime: time.Millisecond, TokenTime: tokenTime, Level: "error", ModifyBundle: func(bundle *schema.Bundle) {
 		bundle.Limits.LoadsPerSecond = 1000
 		for _, t := range bundle.Targets {
 			t.Batch, t.Slots = 1000, 64
@@ -137,7 +137,7 @@
 			const model = "plough-notes@v1"
 			engine, name := c.engineOf(model)
 			n := max(b.N, 20*concurrency)
-			for _, url := range []string{engine, c.VMs[0].Door(), c.VMs[1].Door(), c.VMs[2].Door()} {
+			for _, url := range []string{engine, c.VMs[0].FrontendURL(), c.VMs[1].FrontendURL(), c.VMs[2].FrontendURL()} {
 				m := model
 				if url == engine {
 					m = name
@@ -146,7 +146,7 @@
 			}
 			direct, _ := spread(b, n, concurrency, func(int) (int, error) { return ask(engine, name, "a b c d e f", row.stream) })
 			path, _ := spread(b, n, concurrency, func(i int) (int, error) {
-				return ask(c.VMs[i%len(c.VMs)].Door(), model, "a b c d e f", row.stream)
+				return ask(c.VMs[i%len(c.VMs)].FrontendURL(), model, "a b c d e f", row.stream)
 			})
 			for _, q := range []float64{0.5, 0.99} {
 				d, p := quantile(direct, q), quantile(path, q)
@@ -171,7 +171,7 @@
 		return (cpuTime() - before) / time.Duration(events), float64(events) / time.Since(began).Seconds()
 	}
 	direct, _ := measure(func(int) (int, error) { return ask(engine, name, text, true) })
-	path, rate := measure(func(i int) (int, error) { return ask(c.VMs[i%len(c.VMs)].Door(), model, text, true) })
+	path, rate := measure(func(i int) (int, error) { return ask(c.VMs[i%len(c.VMs)].FrontendURL(), model, text, true) })
 	b.ReportMetric(float64((path-direct).Nanoseconds())/1000, "cpu_us/token")
 	b.ReportMetric(rate, "tokens/s")
 	b.ReportMetric((path-direct).Seconds()*16000*100, "pct_core_at_16000_tokens/s")
--- a/internal/dev/paused_test.go
+++ b/internal/dev/paused_test.go
@@ -120,7 +120,7 @@
 	const target = "koege-llm-1"
 	for _, fencing := range []schema.Fencing{schema.Fencing_FENCING_REFUSES, schema.Fencing_FENCING_IGNORES} {
 		t.Run(fencing.String(), func(t *testing.T) {
-			c, err := Start(Options{VMs: 2, LoadTime: 5 * time.Millisecond, TokenTime: 10 * time.Millisecond, Change: func(b *schema.Bundle) {
+			c, err := Start(Options{VMs: 2, LoadTime: 5 * time.Millisecond, TokenTime: 10 * time.Millisecond, ModifyBundle: func(b *schema.Bundle) {
 				b.Limits.LoadsPerSecond = 50
 				for _, engine := range b.Targets {
 					if engine.Name == target {
@@ -169,9 +169,9 @@
 func (c *Cluster) publishWith(p *process) {
 	var list []standin.VM
 	for _, vm := range c.VMs {
-		list = append(list, standin.VM{ID: vm.ID, Hall: vm.Settings.Vm.Hall, Address: vm.Settings.Peer.Listen, State: "live"})
+		list = append(list, standin.VM{ID: vm.ID, Zone: vm.Settings.Vm.Hall, Address: vm.Settings.Peer.Listen, State: "live"})
 	}
-	c.Platform.SetVMs(append(list, standin.VM{ID: "entry-3", Hall: "koege-hal", Address: p.peer, State: "live"}))
+	c.Platform.SetVMs(append(list, standin.VM{ID: "entry-3", Zone: "koege-hal", Address: p.peer, State: "live"}))
 }
 
 // TestSilentOwner stops an owner's process for good, as a loss of power would: no
@@ -189,7 +189,7 @@
 	assert.NilError(t, c.chat(t.Context(), 0, model, "before", false))
 	assert.NilError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
 	began := time.Now()
-	r, err := Post(t.Context(), c.VMs[0].Door()+chatPath, ChatBody(model, "into the silence", false), nil)
+	r, err := Post(t.Context(), c.VMs[0].FrontendURL()+chatPath, ChatBody(model, "into the silence", false), nil)
 	assert.NilError(t, err)
 	took := time.Since(began)
 	t.Logf("answered after %s: %s", took, r.body)
--- a/internal/dev/publish.go
+++ b/internal/dev/publish.go
@@ -19,7 +19,7 @@
 	}
 	manifest.Version, manifest.Author = version, "dev"
 	manifest.CreatedUnixMs = time.Now().UnixMilli()
-	signed, err := bundle.Seal(manifest)
+	signed, err := bundle.EncodeManifest(manifest)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dev/vm.go
+++ b/internal/dev/vm.go
@@ -72,7 +72,7 @@
 
 // open makes the VM's node; later ones listen where the first did.
 func (vm *VM) open(c *Cluster) error {
-	var dial node.Dial
+	var dial node.DialFunc
 	if c.opts.Dial != nil {
 		dial = c.opts.Dial(vm.ID)
 	}
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// Door returns the URL of a VM's front door.
-func (vm *VM) Door() string { return "http://" + vm.Settings.Door.Listen }
+// FrontendURL returns the URL of a VM's front door.
+func (vm *VM) FrontendURL() string { return "http://" + vm.Settings.Door.Listen }
 
-// Operators returns the URL of a VM's operators' interface.
-func (vm *VM) Operators() string { return "http://" + vm.Settings.Operator.Listen }
+// OperatorURL returns the URL of a VM's operators' interface.
+func (vm *VM) OperatorURL() string { return "http://" + vm.Settings.Operator.Listen }
--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -23,7 +23,7 @@
 
 // Admit asks the acting VM, or decides by what this VM remembers when that one
 // is silent. A VM that is not asked any more says so; the next one is asked.
-func (ad *admission) Admit(ctx context.Context, r *gateway.AdmitRequest) gateway.Verdict {
+func (ad *admission) Admit(ctx context.Context, r *gateway.AdmitRequest) gateway.Decision {
 	n := (*Node)(ad)
 	var lost outage
 	for ctx.Err() == nil {
@@ -88,18 +88,18 @@
 
 // askActing asks the acting VM once. Without an answer, patience is how long to go on
 // asking it.
-func (n *Node) askActing(ctx context.Context, acting coord.VMID, r *gateway.AdmitRequest) (v gateway.Verdict, answered bool, patience time.Duration) {
+func (n *Node) askActing(ctx context.Context, acting coord.VMID, r *gateway.AdmitRequest) (v gateway.Decision, answered bool, patience time.Duration) {
 	if acting == "" {
 		return v, false, unknownPatience
 	}
 	a := n.admitMessage(r)
 	asked := n.now()
 	verdict, err := n.verdictOf(ctx, acting, r, a)
-	if err == nil && verdict.Reason != scheduler.ReasonMoved {
+	if err == nil && verdict.Reason != scheduler.ReasonNotLeader {
 		out := verdictFromProto(r, a.Ticket, acting, verdict)
-		out.Lag = max(n.now().Sub(asked)-time.Duration(verdict.WaitedMs)*time.Millisecond, 0)
-		out.Decided = n.now().Add(-out.Lag)
-		n.metrics.VerdictLag.Observe(out.Lag)
+		out.NetworkDelay = max(n.now().Sub(asked)-time.Duration(verdict.WaitedMs)*time.Millisecond, 0)
+		out.DecidedAt = n.now().Add(-out.NetworkDelay)
+		n.metrics.DecisionDelay.Observe(out.NetworkDelay)
 		return out, true, 0
 	}
 	if err == nil {
@@ -107,7 +107,7 @@
 	}
 	n.sendDone(acting, &schema.Done{Ticket: a.Ticket, Service: r.Service, Ending: schema.Ending_ENDING_ABANDONED, Plain: r.Plain})
 	if ctx.Err() == nil {
-		n.log.SchedulerSilent(r.Request.ID, string(acting), err)
+		n.log.SchedulerUnresponsive(r.Request.ID, string(acting), err)
 	}
 	if errors.Is(err, errQuiet) {
 		return v, false, 0
@@ -154,13 +154,13 @@
 // remember keeps where an adapter is, for when the scheduler is silent, and what
 // runs, for the scheduler that comes after this one. A scheduler that did not give the
 // verdict is told at once, in case it can be reached: it must not unload the adapter.
-func (n *Node) remember(r *gateway.AdmitRequest, v gateway.Verdict) gateway.Verdict {
+func (n *Node) remember(r *gateway.AdmitRequest, v gateway.Decision) gateway.Decision {
 	if v.Target == "" || r.Plain {
 		return v
 	}
 	n.lastHomes.Add(r.Request.Adapter, lastHome{target: v.Target, version: v.AdapterVersion})
 	n.running.add(r, v)
-	if acting := *n.acting.Load(); acting != "" && string(acting) != v.From {
+	if acting := *n.acting.Load(); acting != "" && string(acting) != v.DecidedBy {
 		go n.tell(acting, &schema.Call{Body: &schema.Call_Running{Running: &schema.Running{
 			Grants: []*schema.Grant{grantMessage(n.now(), r, v)},
 		}}})
@@ -175,11 +175,11 @@
 		PromptTokens: int32(r.Request.PromptTokens), OutputTokens: int32(r.Request.OutputTokens),
 		Priority: int32(r.Route.Priority), AimMs: aimMs(r),
 		LeftMs:  n.until(r.Deadline).Milliseconds(),
-		Exclude: r.Exclude, Resting: r.Resting, Plain: r.Plain, Team: r.Team, Cost: r.Cost, Zone: n.settings.Vm.Zone,
+		Exclude: r.Exclude, Resting: r.BackedOff, Plain: r.Plain, Team: r.Team, Cost: r.Cost, Zone: n.settings.Vm.Zone,
 		Content: r.Content[:],
 	}
-	if !r.FirstBy.IsZero() {
-		a.PatienceMs = n.until(r.FirstBy).Milliseconds()
+	if !r.FirstEventDeadline.IsZero() {
+		a.PatienceMs = n.until(r.FirstEventDeadline).Milliseconds()
 	}
 	for _, p := range r.Request.Parts {
 		a.Parts = append(a.Parts, &schema.PromptPart{Id: p.ID, Tokens: int32(p.Tokens)})
@@ -190,24 +190,24 @@
 // aimMs is what is left of a request's objective, counted from when its caller first asked;
 // 0: it has none. One that is over is as good as one of a ms.
 func aimMs(r *gateway.AdmitRequest) int64 {
-	if r.Route.Objective <= 0 {
+	if r.Route.LatencyObjective <= 0 {
 		return 0
 	}
-	return max((r.Route.Objective - r.Age).Milliseconds(), 1)
+	return max((r.Route.LatencyObjective - r.Age).Milliseconds(), 1)
 }
 
-func verdictFromProto(r *gateway.AdmitRequest, ticket uint64, from coord.VMID, v *schema.Verdict) gateway.Verdict {
-	return gateway.Verdict{
-		Service: r.Service, Ticket: ticket, From: string(from),
+func verdictFromProto(r *gateway.AdmitRequest, ticket uint64, from coord.VMID, v *schema.Verdict) gateway.Decision {
+	return gateway.Decision{
+		Service: r.Service, Ticket: ticket, DecidedBy: string(from),
 		Target: v.Target, Address: v.Address, AdapterVersion: v.AdapterVersion, Priority: int(v.Priority),
 		RetryAfter: time.Duration(v.RetryAfterMs) * time.Millisecond, Reason: v.Reason, OverQuota: v.OverQuota,
-		Placed: events.Copy{Revision: fleet.Revision(v.FeedRevision), Age: time.Duration(v.FeedAgeMs) * time.Millisecond},
-		Rate:   ratelimit.Limit{PerSecond: v.LimitPerSecond, Stamp: v.LimitStamp},
+		StoreCopy: events.StoreCopy{Revision: fleet.Revision(v.FeedRevision), Age: time.Duration(v.FeedAgeMs) * time.Millisecond},
+		RateLimit: ratelimit.Limit{PerSecond: v.LimitPerSecond, Stamp: v.LimitStamp},
 	}
 }
 
-func refused(r *gateway.AdmitRequest, reason string, retry time.Duration) gateway.Verdict {
-	return gateway.Verdict{Service: r.Service, RetryAfter: retry, Reason: reason}
+func refused(r *gateway.AdmitRequest, reason string, retry time.Duration) gateway.Decision {
+	return gateway.Decision{Service: r.Service, RetryAfter: retry, Reason: reason}
 }
 
 // lastHome is where requests for an adapter were sent last.
@@ -243,11 +243,11 @@
 
 // lastKnown sends requests where they were sent before, and those for a base model
 // to any target that holds it.
-func (n *Node) lastKnown(r *gateway.AdmitRequest) gateway.Verdict {
-	v := gateway.Verdict{
-		Service: r.Service, From: n.settings.Vm.Id, Ticket: n.tickets.Add(1), Decided: n.now(),
-		Priority: scheduler.EnginePriority(r.Route.Priority),
-		Placed:   events.Copy{Revision: n.feed.Revision(), Age: n.feed.Age()},
+func (n *Node) lastKnown(r *gateway.AdmitRequest) gateway.Decision {
+	v := gateway.Decision{
+		Service: r.Service, DecidedBy: n.settings.Vm.Id, Ticket: n.tickets.Add(1), DecidedAt: n.now(),
+		Priority:  scheduler.EnginePriority(r.Route.Priority),
+		StoreCopy: events.StoreCopy{Revision: n.feed.Revision(), Age: n.feed.Age()},
 	}
 	if t, version := n.knownHome(r); t != nil {
 		v.Target, v.Address, v.AdapterVersion = t.ID, t.Address, version
@@ -258,7 +258,7 @@
 	}
 	dir := n.feed.Directory()
 	var ids []string
-	for _, t := range dir.Of(r.Service) {
+	for _, t := range dir.TargetsOf(r.Service) {
 		if usable(t, r) && holdsModel(t, r.Request.Adapter.Model) {
 			ids = append(ids, t.ID)
 		}
@@ -272,8 +272,8 @@
 }
 
 func usable(t *fleet.Target, r *gateway.AdmitRequest) bool {
-	return t != nil && t.State == fleet.TargetReady && !slices.Contains(r.Exclude, t.ID) && !slices.Contains(r.Resting, t.ID) &&
-		!slices.Contains(r.Limited, t.ID)
+	return t != nil && t.State == fleet.TargetReady && !slices.Contains(r.Exclude, t.ID) && !slices.Contains(r.BackedOff, t.ID) &&
+		!slices.Contains(r.RateLimited, t.ID)
 }
 
 func holdsModel(t *fleet.Target, model string) bool {
@@ -281,43 +281,43 @@
 }
 
 // Done tells the VM that gave the verdict how the request ended.
-func (ad *admission) Done(v gateway.Verdict, how scheduler.Ending) {
+func (ad *admission) Done(v gateway.Decision, how scheduler.Ending) {
 	if v.Ticket == 0 {
 		return // a refusal
 	}
 	n := (*Node)(ad)
 	n.running.remove(v.Ticket)
 	done := &schema.Done{Ticket: v.Ticket, Service: v.Service, Ending: protoEndings[how]}
-	n.sendDone(coord.VMID(v.From), done)
+	n.sendDone(coord.VMID(v.DecidedBy), done)
 	// An acting VM that did not give the verdict was told that the request runs.
-	if acting := *n.acting.Load(); acting != "" && string(acting) != v.From {
+	if acting := *n.acting.Load(); acting != "" && string(acting) != v.DecidedBy {
 		n.sendDone(acting, done)
 	}
 }
 
-// Chosen takes a target that this VM chose without a verdict: what ends under the request is to be
+// ChosenLocally takes a target that this VM chose without a verdict: what ends under the request is to be
 // known here.
-func (ad *admission) Chosen(r *gateway.AdmitRequest, v gateway.Verdict) {
+func (ad *admission) ChosenLocally(r *gateway.AdmitRequest, v gateway.Decision) {
 	n := (*Node)(ad)
-	n.contents.began(coord.VMID(v.From), v.Ticket, r.Content[:], v.Target, n.until(r.Deadline))
+	n.contents.began(coord.VMID(v.DecidedBy), v.Ticket, r.Content[:], v.Target, n.until(r.Deadline))
 }
 
-// First tells the VM that gave the verdict that the first event has come.
-func (ad *admission) First(v gateway.Verdict) {
+// FirstEvent tells the VM that gave the verdict that the first event has come.
+func (ad *admission) FirstEvent(v gateway.Decision) {
 	if v.Ticket == 0 {
 		return
 	}
-	(*Node)(ad).sendDone(coord.VMID(v.From), &schema.Done{
+	(*Node)(ad).sendDone(coord.VMID(v.DecidedBy), &schema.Done{
 		Ticket: v.Ticket, Service: v.Service, Ending: schema.Ending_ENDING_FIRST_EVENT,
 	})
 }
 
 // DonePlain tells the VM that gave the verdict how the request ended.
-func (ad *admission) DonePlain(v gateway.Verdict, how balance.Ending, took time.Duration) {
+func (ad *admission) DonePlain(v gateway.Decision, how balance.Ending, took time.Duration) {
 	if v.Ticket == 0 {
 		return // a refusal
 	}
-	(*Node)(ad).sendDone(coord.VMID(v.From), &schema.Done{
+	(*Node)(ad).sendDone(coord.VMID(v.DecidedBy), &schema.Done{
 		Ticket: v.Ticket, Service: v.Service, Ending: protoPlainEndings[how], Plain: true,
 		TookMs: float64(took) / float64(time.Millisecond),
 	})
--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -38,8 +38,8 @@
 	n.mu.Lock()
 	changes, paused := n.roster.Tick(now)
 	if paused {
-		n.duty.Paused(now)
-		n.roster.SetFence(0)
+		n.duty.HandleSuspension(now)
+		n.roster.SetFencingToken(0)
 	}
 	n.lastTick = now
 	n.mu.Unlock()
@@ -128,7 +128,7 @@
 	defer n.beating.Delete(vm)
 	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 	defer cancel()
-	err := n.mesh.Beat(ctx, vm, &schema.Heartbeat{Vm: n.settings.Vm.Id, Roster: n.tellRoster()})
+	err := n.mesh.SendHeartbeat(ctx, vm, &schema.Heartbeat{Vm: n.settings.Vm.Id, Roster: n.tellRoster()})
 	if err != nil {
 		n.log.PeerCallFailed("heartbeat", string(vm), err)
 	}
@@ -137,22 +137,22 @@
 // onRosterChanges logs what changed and lets go of VMs that are away.
 func (n *Node) onRosterChanges(changes []roster.Change) {
 	for _, c := range changes {
-		if c.Restarted != 0 || c.Old == "" || c.Old == roster.Suspect.String() {
+		if c.NewIncarnation != 0 || c.Old == "" || c.Old == roster.Suspect.String() {
 			n.contents.tellTo(c.VM)
 			go n.tellLeaving(c.VM, n.feed.Leaving())
 			n.rateLimits.tellTo(c.VM)
 		}
-		n.log.PeerChanged(string(c.VM), c.Old, c.New, c.Silent)
+		n.log.PeerChanged(string(c.VM), c.Old, c.New, c.UnresponsiveFor)
 		if c.New == roster.Suspect.String() || c.New == "" {
-			n.mesh.Drop(c.VM)
+			n.mesh.Disconnect(c.VM)
 			n.schedules.silent(c.VM)
 			n.lines.drop(c.VM, allTickets)
 			n.contents.drop(c.VM, allTickets)
 		}
-		if c.Restarted != 0 {
-			n.schedules.restarted(c.VM, c.Restarted)
-			n.lines.drop(c.VM, c.Restarted)
-			n.contents.drop(c.VM, c.Restarted)
+		if c.NewIncarnation != 0 {
+			n.schedules.restarted(c.VM, c.NewIncarnation)
+			n.lines.drop(c.VM, c.NewIncarnation)
+			n.contents.drop(c.VM, c.NewIncarnation)
 		}
 	}
 	if len(changes) > 0 {
--- a/internal/edge/contents.go
+++ b/internal/edge/contents.go
@@ -41,7 +41,7 @@
 		c.refused++
 		return refusal(reason, retry)
 	}
-	a.Exclude = append(a.Exclude, c.table.Avoid(d)...)
+	a.Exclude = append(a.Exclude, c.table.TargetsToAvoid(d)...)
 	return nil
 }
 
@@ -49,7 +49,7 @@
 func (c *contents) alone(content quarantine.Digest) (reason string, retry time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if reason, retry = c.table.Alone(c.node.now(), content); reason != "" {
+	if reason, retry = c.table.CheckWithoutLeader(c.node.now(), content); reason != "" {
 		c.refused++
 	}
 	return reason, retry
@@ -60,21 +60,21 @@
 	now := c.node.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Began(now, quarantine.Key{VM: from, Ticket: ticket}, digestOf(content), target, now.Add(left))
+	c.table.RequestStarted(now, quarantine.Key{VM: from, Ticket: ticket}, digestOf(content), target, now.Add(left))
 }
 
 // ended takes the end of a request.
 func (c *contents) ended(from coord.VMID, ticket uint64, how schema.Ending) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Ended(c.node.now(), quarantine.Key{VM: from, Ticket: ticket},
+	c.table.RequestEnded(c.node.now(), quarantine.Key{VM: from, Ticket: ticket},
 		how == schema.Ending_ENDING_OK, how == schema.Ending_ENDING_BROKE)
 }
 
 func (c *contents) drop(vm coord.VMID, before uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Drop(vm, before)
+	c.table.ForgetVM(vm, before)
 }
 
 // maxTold bounds the findings of one message: some 40 bytes each.
@@ -90,7 +90,7 @@
 		return
 	}
 	for _, f := range found {
-		c.node.log.ContentSuspected(hex.EncodeToString(f.Digest[:]), f.Targets, f.Held)
+		c.node.log.ContentSuspected(hex.EncodeToString(f.Digest[:]), f.Targets, f.BlockedFor)
 	}
 	all, held := suspectsToProto(found)
 	c.node.tellSuspects(all, held)
@@ -100,11 +100,11 @@
 func suspectsToProto(found []quarantine.Finding) (all, held *schema.Suspects) {
 	all, held = &schema.Suspects{}, &schema.Suspects{}
 	for _, f := range found {
-		s := &schema.Suspect{Content: f.Digest[:], Targets: f.Targets, HeldMs: f.Held.Milliseconds()}
+		s := &schema.Suspect{Content: f.Digest[:], Targets: f.Targets, HeldMs: f.BlockedFor.Milliseconds()}
 		if len(all.Suspects) < maxTold {
 			all.Suspects = append(all.Suspects, s)
 		}
-		if f.Held > 0 {
+		if f.BlockedFor > 0 {
 			held.Suspects = append(held.Suspects, s)
 		}
 	}
@@ -129,7 +129,7 @@
 	defer c.mu.Unlock()
 	for _, s := range m.Suspects {
 		held := time.Duration(min(s.HeldMs, math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
-		c.table.Learn(c.node.now(), quarantine.Finding{Digest: digestOf(s.Content), Targets: s.Targets, Held: held})
+		c.table.Merge(c.node.now(), quarantine.Finding{Digest: digestOf(s.Content), Targets: s.Targets, BlockedFor: held})
 	}
 }
 
@@ -138,7 +138,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range c.table.Findings(c.node.now()) {
-		if f.Held > 0 {
+		if f.BlockedFor > 0 {
 			held++
 		} else {
 			suspect++
@@ -147,22 +147,22 @@
 	return suspect, held, c.refused
 }
 
-// HeldContent is a content that is held, for operators.
-type HeldContent struct {
+// BlockedContent is a content that is held, for operators.
+type BlockedContent struct {
 	Targets []string
 	SinceMs int64
 	LeftMs  int64
 }
 
 // held lists contents that are held, by their digests.
-func (c *contents) held() map[string]HeldContent {
+func (c *contents) held() map[string]BlockedContent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := map[string]HeldContent{}
+	out := map[string]BlockedContent{}
 	for _, f := range c.table.Findings(c.node.now()) {
-		if f.Held > 0 {
-			out[hex.EncodeToString(f.Digest[:])] = HeldContent{
-				Targets: f.Targets, SinceMs: c.node.now().Sub(f.Since).Milliseconds(), LeftMs: f.Held.Milliseconds(),
+		if f.BlockedFor > 0 {
+			out[hex.EncodeToString(f.Digest[:])] = BlockedContent{
+				Targets: f.Targets, SinceMs: c.node.now().Sub(f.Since).Milliseconds(), LeftMs: f.BlockedFor.Milliseconds(),
 			}
 		}
 	}
@@ -173,7 +173,7 @@
 func (n *Node) tellSuspects(all, held *schema.Suspects) {
 	n.mu.Lock()
 	strong := map[coord.VMID]bool{}
-	for _, e := range n.roster.Strong() {
+	for _, e := range n.roster.LeaderCandidates() {
 		strong[e.ID] = true
 	}
 	n.mu.Unlock()
--- a/internal/edge/contents_test.go
+++ b/internal/edge/contents_test.go
@@ -43,7 +43,7 @@
 		Decode:   func(fleet.Item) (fleet.Decoded, error) { return fleet.Decoded{Target: engine}, nil },
 		OnChange: func(*feed.Directory) {}, Log: log, Now: n.now,
 	})
-	n.feed.Take(feed.Update{Snapshot: true, To: 1, Items: []fleet.Item{{Key: "e", Revision: 1}}})
+	n.feed.Apply(feed.Update{Snapshot: true, To: 1, Items: []fleet.Item{{Key: "e", Revision: 1}}})
 	return n, now
 }
 
@@ -61,16 +61,16 @@
 					Request: &fleet.Request{Adapter: fleet.AdapterRef{Model: "m"}},
 				}
 				v := n.placeAlone(r)
-				if v.Target == "" && !v.Alone {
+				if v.Target == "" && !v.LocalChoice {
 					continue
 				}
 				ends++
 				if plain {
 					v.Target = "p"
-					ad.Chosen(r, v)
-					ad.DonePlain(v, balance.Broke, 0)
+					ad.ChosenLocally(r, v)
+					ad.DonePlain(v, balance.Disconnected, 0)
 				} else {
-					ad.Done(v, scheduler.EndedBroke)
+					ad.Done(v, scheduler.EndedDisconnected)
 				}
 				*now = now.Add(time.Second)
 				n.contents.tick()
--- a/internal/edge/decide.go
+++ b/internal/edge/decide.go
@@ -15,7 +15,7 @@
 func (n *Node) admit(ctx context.Context, from coord.VMID, a *schema.Admit) *schema.Verdict {
 	n.wake()
 	if !n.acts() {
-		return refusal(scheduler.ReasonMoved, 0)
+		return refusal(scheduler.ReasonNotLeader, 0)
 	}
 	if v := n.contents.check(from, a); v != nil {
 		return v
@@ -58,7 +58,7 @@
 
 // placeAlone decides on a request without a verdict, within this VM's part of the team's
 // quota.
-func (n *Node) placeAlone(r *gateway.AdmitRequest) gateway.Verdict {
+func (n *Node) placeAlone(r *gateway.AdmitRequest) gateway.Decision {
 	if reason, retry := n.contents.alone(r.Content); reason != "" {
 		return refused(r, reason, retry)
 	}
@@ -68,11 +68,11 @@
 		return v
 	}
 	if r.Plain {
-		return gateway.Verdict{Service: r.Service, From: n.settings.Vm.Id, Ticket: n.tickets.Add(1), Alone: true, Decided: n.now()}
+		return gateway.Decision{Service: r.Service, DecidedBy: n.settings.Vm.Id, Ticket: n.tickets.Add(1), LocalChoice: true, DecidedAt: n.now()}
 	}
 	v := n.lastKnown(r)
 	if v.Target != "" {
-		(*admission)(n).Chosen(r, v)
+		(*admission)(n).ChosenLocally(r, v)
 	}
 	return v
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -159,7 +159,7 @@
 func New(s *schema.EdgeSettings, p Platform, metrics *gateway.Metrics, l *events.Log) (*Node, error) {
 	machine, err := clock.New(p.Clocks)
 	if err != nil {
-		l.SuspensionsUnseen(err)
+		l.SuspensionsUndetectable(err)
 	}
 	n := &Node{
 		settings: s, inForce: s, log: l, platform: p, clock: machine, now: machine.Now, metrics: metrics,
@@ -197,37 +197,37 @@
 	n.contents = newContents(n)
 	n.rateLimits = newRateLimits(n)
 	n.mesh = peer.New(peer.Config{
-		Self: self, Hall: s.Vm.Zone, Incarnation: incarnation, DialTimeout: peerDial, SilenceTimeout: peerSilence,
+		Self: self, Zone: s.Vm.Zone, Incarnation: incarnation, DialTimeout: peerDial, AckTimeout: peerSilence,
 	}, (*peerHandler)(n), n.peerAddress)
 	n.feed = feed.New(feed.Config{
 		Store: p.Store, Peers: (*feedPeers)(n), Prefixes: p.Prefixes, Decode: p.Decode, Trim: p.Trim,
-		ApplyWithin: time.Duration(s.Times.ConfigApplyMs) * time.Millisecond,
-		DrainWithin: time.Duration(s.Times.DrainMs) * time.Millisecond,
-		ProveWithin: keysWithin(s.Times),
-		OnChange:    n.onDirectory, OnGone: n.onTargetsGone, Log: l, Now: n.now,
+		ApplyWithin:   time.Duration(s.Times.ConfigApplyMs) * time.Millisecond,
+		DrainWithin:   time.Duration(s.Times.DrainMs) * time.Millisecond,
+		ConfirmWithin: keysWithin(s.Times),
+		OnChange:      n.onDirectory, OnRemoved: n.onTargetsGone, Log: l, Now: n.now,
 	})
 	n.pool = hop.New(func() { metrics.Dials.Add(1) })
 	n.pool.Now = n.now
 	n.gateway = gateway.New(gateway.Config{
 		VM: s.Vm.Id, Zone: s.Vm.Zone, Codec: p.Codec, Directory: n.feed, Admission: (*admission)(n), Pool: n.pool,
 		Retry: retry.Config{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack},
-		VMs:   func() int { return int(n.vms.Load()) }, Bounds: leavingBounds(s.Times), KeysWithin: keysWithin(s.Times),
-		Heard: n.targetSaid, RateLimits: n.rateLimits, Wake: n.wake, Log: l, Metrics: metrics, Now: n.now,
+		VMs:   func() int { return int(n.vms.Load()) }, DrainBounds: leavingBounds(s.Times), MaxKeyAge: keysWithin(s.Times),
+		OnNotice: n.targetSaid, RateLimits: n.rateLimits, CheckSuspension: n.wake, Log: l, Metrics: metrics, Now: n.now,
 	})
 	n.publishGauges()
 	return n, n.listen()
 }
 
 // leavingBounds divides the time that the deployment gives for a target that leaves.
-func leavingBounds(t *schema.EdgeTimes) gateway.Bounds {
+func leavingBounds(t *schema.EdgeTimes) gateway.DrainBounds {
 	drain := time.Duration(t.DrainMs) * time.Millisecond
 	propagation := feed.PropagationBound(time.Duration(t.ConfigApplyMs)*time.Millisecond, drain)
-	return gateway.Bounds{Propagation: propagation, InFlight: max(drain-propagation, minInFlight)}
+	return gateway.DrainBounds{Propagation: propagation, InFlight: max(drain-propagation, minInFlight)}
 }
 
 // keysWithin is how old a copy of the store may be to judge keys by; 0: any.
 func keysWithin(t *schema.EdgeTimes) time.Duration {
-	return time.Duration(feed.KeysShare * float64(t.RevokeMs) * float64(time.Millisecond))
+	return time.Duration(feed.KeyAgeShare * float64(t.RevokeMs) * float64(time.Millisecond))
 }
 
 // minInFlight is the least time that verdicts and the bytes of requests have: two
--- a/internal/edge/endings.go
+++ b/internal/edge/endings.go
@@ -8,27 +8,27 @@
 
 // protoEndings translates endings at engines for the protocol, and endings back.
 var protoEndings = map[scheduler.Ending]schema.Ending{
-	scheduler.EndedOK:          schema.Ending_ENDING_OK,
-	scheduler.EndedBusy:        schema.Ending_ENDING_BUSY,
-	scheduler.EndedMisplaced:   schema.Ending_ENDING_MISPLACED,
-	scheduler.EndedFailed:      schema.Ending_ENDING_FAILED,
-	scheduler.EndedBroke:       schema.Ending_ENDING_BROKE,
-	scheduler.EndedUnreachable: schema.Ending_ENDING_UNREACHABLE,
-	scheduler.EndedAbandoned:   schema.Ending_ENDING_ABANDONED,
-	scheduler.EndedWithdrawn:   schema.Ending_ENDING_WITHDRAWN,
+	scheduler.EndedOK:           schema.Ending_ENDING_OK,
+	scheduler.EndedBusy:         schema.Ending_ENDING_BUSY,
+	scheduler.EndedMisrouted:    schema.Ending_ENDING_MISPLACED,
+	scheduler.EndedFailed:       schema.Ending_ENDING_FAILED,
+	scheduler.EndedDisconnected: schema.Ending_ENDING_BROKE,
+	scheduler.EndedUnreachable:  schema.Ending_ENDING_UNREACHABLE,
+	scheduler.EndedAbandoned:    schema.Ending_ENDING_ABANDONED,
+	scheduler.EndedWithdrawn:    schema.Ending_ENDING_WITHDRAWN,
 }
 
 var endings = inverse(protoEndings)
 
 // protoPlainEndings translates endings at plain targets for the protocol, and plainEndings back.
 var protoPlainEndings = map[balance.Ending]schema.Ending{
-	balance.OK:          schema.Ending_ENDING_OK,
-	balance.Busy:        schema.Ending_ENDING_BUSY,
-	balance.Failed:      schema.Ending_ENDING_FAILED,
-	balance.Broke:       schema.Ending_ENDING_BROKE,
-	balance.Abandoned:   schema.Ending_ENDING_ABANDONED,
-	balance.Unreachable: schema.Ending_ENDING_UNREACHABLE,
-	balance.Hung:        schema.Ending_ENDING_HUNG,
+	balance.OK:           schema.Ending_ENDING_OK,
+	balance.Busy:         schema.Ending_ENDING_BUSY,
+	balance.Failed:       schema.Ending_ENDING_FAILED,
+	balance.Disconnected: schema.Ending_ENDING_BROKE,
+	balance.Abandoned:    schema.Ending_ENDING_ABANDONED,
+	balance.Unreachable:  schema.Ending_ENDING_UNREACHABLE,
+	balance.TimedOut:     schema.Ending_ENDING_HUNG,
 }
 
 var plainEndings = inverse(protoPlainEndings)
--- a/internal/edge/gauges.go
+++ b/internal/edge/gauges.go
@@ -8,24 +8,24 @@
 
 // publishGauges adds the state of the parts to the metrics.
 func (n *Node) publishGauges() {
-	n.metrics.Gauge("open_requests", n.gateway.Open)
+	n.metrics.Gauge("open_requests", n.gateway.OpenRequests)
 	n.metrics.Gauge("peer_sessions", func() int64 { return int64(n.mesh.Sessions()) })
 	n.metrics.Gauge("peer_bytes_in_total", func() int64 { in, _ := n.mesh.Bytes(); return in })
 	n.metrics.Gauge("peer_bytes_out_total", func() int64 { _, out := n.mesh.Bytes(); return out })
 	n.metrics.Gauge("feed_revision", func() int64 { return int64(n.feed.Revision().Number()) })
-	n.metrics.Gauge("feed_era", func() int64 { return int64(n.feed.Revision().Era()) })
+	n.metrics.Gauge("feed_era", func() int64 { return int64(n.feed.Revision().Epoch()) })
 	n.metrics.Gauge("feed_age_ms", func() int64 { return n.feed.Age().Milliseconds() })
 	n.metrics.Gauge("keys_within_ms", keysWithin(n.settings.Times).Milliseconds)
-	n.metrics.Gauge("feed_proven_ms", func() int64 { return n.feed.Proven().Milliseconds() })
-	n.metrics.Gauge("feed_items_refused", n.feed.Refused)
+	n.metrics.Gauge("feed_proven_ms", func() int64 { return n.feed.ConfirmedAge().Milliseconds() })
+	n.metrics.Gauge("feed_items_refused", n.feed.RefusedItems)
 	n.metrics.Gauge("targets_leaving", func() int64 { return int64(len(n.feed.Leaving())) })
-	n.metrics.Gauge("targets_resting", n.gateway.Resting)
+	n.metrics.Gauge("targets_resting", n.gateway.BackedOff)
 	n.metrics.Gauge("targets_rate_limited", func() int64 { return int64(len(n.rateLimits.Limited())) })
 	n.metrics.Map.Set("rate_limits", expvar.Func(func() any { rates, _ := n.rateLimits.current(); return rates }))
 	n.metrics.Gauge("plain_waiting", func() int64 { return int64(n.lines.stats().Waiting) })
 	n.metrics.Gauge("plain_running", func() int64 { return int64(n.lines.stats().Running) })
 	n.metrics.Gauge("plain_limit", func() int64 { return int64(n.lines.stats().Limit) })
-	n.metrics.Gauge("plain_work_ms", func() int64 { return n.lines.stats().Work.Milliseconds() })
+	n.metrics.Gauge("plain_work_ms", func() int64 { return n.lines.stats().ServiceTime.Milliseconds() })
 	n.metrics.Gauge("contents_suspect", func() int64 { suspect, _, _ := n.contents.stats(); return suspect })
 	n.metrics.Gauge("contents_held", func() int64 { _, held, _ := n.contents.stats(); return held })
 	n.metrics.Gauge("contents_refused_total", func() int64 { _, _, refused := n.contents.stats(); return refused })
@@ -33,7 +33,7 @@
 	n.metrics.Map.Set("teams", expvar.Func(func() any { return n.quotas.rows() }))
 	n.metrics.Gauge("scheduler_waiting", func() int64 { return int64(n.schedules.stats().Waiting) })
 	n.metrics.Gauge("adapter_loads", func() int64 { return int64(n.schedules.stats().Loads) })
-	for _, why := range scheduler.Causes() {
+	for _, why := range scheduler.FreedByValues() {
 		n.metrics.Gauge("places_freed_by_"+why.String(), func() int64 { return n.schedules.stats().Freed[why] })
 	}
 	n.metrics.Gauge("adapter_loads_limit", func() int64 { return int64(n.schedules.stats().MaxLoads) })
--- a/internal/edge/leader.go
+++ b/internal/edge/leader.go
@@ -30,7 +30,7 @@
 // updateReaders finds who reads the store for all.
 func (n *Node) updateReaders() {
 	n.mu.Lock()
-	live := n.roster.Strong()
+	live := n.roster.LeaderCandidates()
 	n.vms.Store(int64(max(n.roster.Size(), 1)))
 	n.mu.Unlock()
 	hashes := make([]uint64, len(live))
@@ -73,9 +73,9 @@
 	before := n.duty.Phase()
 	take := n.duty.Update(n.now(), n.roster)
 	after := n.duty.Phase()
-	acting := n.duty.Acting()
-	n.roster.SetFence(n.duty.Fence())
-	fence := n.duty.Fence()
+	acting := n.duty.Leader()
+	n.roster.SetFencingToken(n.duty.FencingToken())
+	fence := n.duty.FencingToken()
 	vms, majority := n.roster.Size(), n.roster.HasMajority()
 	n.mu.Unlock()
 	if old := *n.acting.Load(); old != acting {
@@ -88,7 +88,7 @@
 		n.log.SchedulerMoved(string(old), string(acting))
 	}
 	if before != after {
-		n.log.DutyChanged(before.String(), after.String(), vms, majority)
+		n.log.LeadershipChanged(before.String(), after.String(), vms, majority)
 	}
 	n.schedules.setLease(fence)
 	if take {
@@ -102,17 +102,17 @@
 	defer cancel()
 	revision, err := n.platform.Store.Revision(ctx)
 	if err != nil {
-		n.log.DutyNotTaken(err)
+		n.log.LeadershipNotAcquired(err)
 	}
 	n.mu.Lock()
-	n.duty.Take(n.now(), fenceBase(revision), err == nil)
-	fence := n.duty.Fence()
-	n.roster.SetFence(fence)
+	n.duty.Acquire(n.now(), fenceBase(revision), err == nil)
+	fence := n.duty.FencingToken()
+	n.roster.SetFencingToken(fence)
 	n.mu.Unlock()
 	if fence == 0 {
 		return
 	}
-	n.log.DutyTaken(fence, revision)
+	n.log.LeadershipAcquired(fence, revision)
 	n.schedules.setLease(fence)
 	n.beatAll()
 }
@@ -122,7 +122,7 @@
 const eraStep = 1 << 20
 
 // fenceBase is a number that grows with the revisions of the store and does not fall when it is restored.
-func fenceBase(r fleet.Revision) uint64 { return r.Number() + r.Era()*eraStep }
+func fenceBase(r fleet.Revision) uint64 { return r.Number() + r.Epoch()*eraStep }
 
 // maxTickAge is how old the last look at the fleet may be for an order: a VM that
 // stood still must look again first.
@@ -136,5 +136,5 @@
 	if n.now().Sub(n.lastTick) > maxTickAge {
 		return 0
 	}
-	return n.duty.Fence()
+	return n.duty.FencingToken()
 }
--- a/internal/edge/lines.go
+++ b/internal/edge/lines.go
@@ -29,7 +29,7 @@
 // plainLine is the line of one service.
 type plainLine struct {
 	service string
-	l       *servicequeue.Line
+	l       *servicequeue.Queue
 	waiters waiters
 	// targets that take requests, and usable the same for the line.
 	targets map[string]*fleet.Target
@@ -57,7 +57,7 @@
 			ls.services[name] = pl
 		}
 		pl.targets, pl.usable, pl.revision = map[string]*fleet.Target{}, nil, d.Revision
-		for _, t := range d.Of(name) {
+		for _, t := range d.TargetsOf(name) {
 			if t.State == fleet.TargetReady {
 				pl.targets[t.ID] = t
 				pl.usable = append(pl.usable, servicequeue.Target{ID: t.ID, Zone: t.Zone, Slots: t.Slots})
@@ -68,7 +68,7 @@
 }
 
 // newLine returns an empty line that knows which targets limit their rate.
-func (ls *lines) newLine() *servicequeue.Line {
+func (ls *lines) newLine() *servicequeue.Queue {
 	l := servicequeue.New()
 	rates, share := ls.node.rateLimits.current()
 	l.SetRates(ls.node.now(), rates, share)
@@ -80,7 +80,7 @@
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for _, pl := range ls.services {
-		ls.answer(pl, pl.l.HandBack(scheduler.ReasonMoved))
+		ls.answer(pl, pl.l.RefuseWaiting(scheduler.ReasonNotLeader))
 		if acting {
 			pl.l = ls.newLine()
 			ls.answer(pl, pl.l.SetTargets(ls.node.now(), pl.usable))
@@ -95,7 +95,7 @@
 // drop forgets what a VM asked and runs that is silent, or whose process before this
 // incarnation is gone.
 func (ls *lines) drop(vm coord.VMID, before uint64) {
-	ls.each(func(pl *plainLine, now time.Time) []servicequeue.Action { return pl.l.Drop(now, vm, before) })
+	ls.each(func(pl *plainLine, now time.Time) []servicequeue.Action { return pl.l.RemoveVM(now, vm, before) })
 }
 
 func (ls *lines) each(f func(pl *plainLine, now time.Time) []servicequeue.Action) {
@@ -126,7 +126,7 @@
 		Deadline: now.Add(time.Duration(a.LeftMs) * time.Millisecond),
 	}
 	if a.PatienceMs != 0 {
-		r.InTimeUntil = now.Add(time.Duration(a.PatienceMs) * time.Millisecond)
+		r.SoftDeadline = now.Add(time.Duration(a.PatienceMs) * time.Millisecond)
 	}
 	ls.answer(pl, pl.l.Submit(now, r))
 	ls.mu.Unlock()
@@ -160,8 +160,8 @@
 			Target: a.Target, RetryAfterMs: a.RetryAfter.Milliseconds(), Reason: a.Reason,
 			FeedRevision: uint64(pl.revision), FeedAgeMs: ls.node.feed.Age().Milliseconds(),
 		})
-		if answered && a.Target == "" && a.Reason != scheduler.ReasonMoved {
-			ls.node.log.LineRefused(string(a.Key.VM), a.Key.Ticket, pl.service, a.Reason, pl.l.Stats())
+		if answered && a.Target == "" && a.Reason != scheduler.ReasonNotLeader {
+			ls.node.log.QueueRefused(string(a.Key.VM), a.Key.Ticket, pl.service, a.Reason, pl.l.Stats())
 		}
 	}
 }
@@ -175,7 +175,7 @@
 		sum.Waiting += st.Waiting
 		sum.Running += st.Running
 		sum.Limit += st.Limit
-		sum.Work = max(sum.Work, st.Work)
+		sum.ServiceTime = max(sum.ServiceTime, st.ServiceTime)
 	}
 	return sum
 }
--- a/internal/edge/notices.go
+++ b/internal/edge/notices.go
@@ -9,13 +9,13 @@
 
 // targetSaid takes what a target said of itself beside an answer to this VM. v is the verdict on which
 // the answered request was sent; nil: it is not known, or was none.
-func (n *Node) targetSaid(target string, said fleet.Notice, v *gateway.Verdict) {
-	if said.Rest > 0 && n.gateway.AskRest(target, said.Rest) {
-		n.log.TargetSaid(target, said.Leaving, said.Rest)
+func (n *Node) targetSaid(target string, said fleet.Notice, v *gateway.Decision) {
+	if said.Backoff > 0 && n.gateway.RecordBackoff(target, said.Backoff) {
+		n.log.TargetNotice(target, said.Leaving, said.Backoff)
 	}
 	n.rateLimits.heard(target, said.RateLimit, v)
-	if said.Leaving && n.feed.TargetLeaves(target) {
-		n.log.TargetSaid(target, said.Leaving, said.Rest)
+	if said.Leaving && n.feed.MarkLeaving(target) {
+		n.log.TargetNotice(target, said.Leaving, said.Backoff)
 		for _, vm := range n.others() {
 			go n.tellLeaving(vm, []string{target})
 		}
@@ -33,6 +33,6 @@
 // heardLeaving takes what another VM heard.
 func (n *Node) heardLeaving(m *schema.LeavingTargets) {
 	for _, target := range m.Targets {
-		n.feed.TargetLeaves(target)
+		n.feed.MarkLeaving(target)
 	}
 }
--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -21,10 +21,10 @@
 	answer, err := fleet.OrderAnswer{Result: fleet.OrderConflict}, errLeaseOver // as if not taken
 	began := n.now()
 	fence := n.orderFence()
-	if fence == a.Fence {
+	if fence == a.FencingToken {
 		answer, err = n.platform.Engines.Order(context.Background(), fleet.Order{
 			Target: t.ID, Address: t.Address, Unload: a.Kind == scheduler.ActUnload, Ref: a.Ref,
-			Version: a.Version, Holder: n.settings.Vm.Id, Fence: fence, Expect: a.Expect,
+			Version: a.Version, Holder: n.settings.Vm.Id, FencingToken: fence, ExpectedOrders: a.ExpectedOrders,
 		})
 	}
 	n.targetSaid(t.ID, answer.Notice, nil)
@@ -32,23 +32,23 @@
 	n.logOrder(t, a, fence, result, err, n.now().Sub(began))
 	if result == fleet.OrderFenced {
 		n.mu.Lock()
-		n.duty.Refused(fence)
+		n.duty.HandleRejection(fence)
 		n.mu.Unlock()
 	}
 	ss.each(func(other *schedule, now time.Time) []scheduler.Action {
 		if other != sc {
 			return nil
 		}
-		return sc.s.Ordered(now, t.ID, a.Kind == scheduler.ActUnload, a.Ref, orderResult(result))
+		return sc.s.OrderAnswered(now, t.ID, a.Kind == scheduler.ActUnload, a.Ref, orderResult(result))
 	})
 }
 
 func orderResult(r fleet.OrderResult) scheduler.OrderResult {
 	switch r {
-	case fleet.OrderBegun:
-		return scheduler.OrderBegun
-	case fleet.OrderHolds:
-		return scheduler.OrderHolds
+	case fleet.OrderAccepted:
+		return scheduler.OrderAccepted
+	case fleet.OrderAlreadyApplied:
+		return scheduler.OrderAlreadyApplied
 	case fleet.OrderUnknown:
 		return scheduler.OrderUnknown
 	}
@@ -62,12 +62,12 @@
 	}
 	n.metrics.Orders.Add(kind+"."+r.String(), 1)
 	expect := int64(-1)
-	if a.Expect != nil {
-		expect = int64(*a.Expect)
+	if a.ExpectedOrders != nil {
+		expect = int64(*a.ExpectedOrders)
 	}
 	n.log.OrderAnswered(events.Order{
 		Kind: kind, Target: t.ID, Adapter: a.Ref.String(), Version: a.Version,
-		Fence: fence, Expect: expect, Result: r.String(), Took: took, Err: err,
+		FencingToken: fence, ExpectedOrders: expect, Result: r.String(), Took: took, Err: err,
 		Basis: a.Basis,
 	})
 }
@@ -87,14 +87,14 @@
 	if err != nil {
 		ss.node.log.ReportFailed(t.ID, err)
 	}
-	r := scheduler.Report{Resident: holdings(report.Resident), Pending: report.Pending, Busy: report.Busy, Orders: report.Orders}
+	r := scheduler.Report{Resident: holdings(report.Resident), Pending: report.Pending, Busy: report.Busy, OrderCount: report.OrderCount}
 	ss.each(func(other *schedule, now time.Time) []scheduler.Action {
 		switch {
 		case other != sc:
 			return nil
 		case another && report.Started > t.Started:
-			return sc.s.Replaced(now, t.ID)
+			return sc.s.TargetReplaced(now, t.ID)
 		}
-		return sc.s.Report(now, t.ID, r, err == nil)
+		return sc.s.HandleReport(now, t.ID, r, err == nil)
 	})
 }
--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -23,7 +23,7 @@
 
 func (e *countingEngines) Order(context.Context, fleet.Order) (fleet.OrderAnswer, error) {
 	e.orders++
-	return fleet.OrderAnswer{Result: fleet.OrderBegun}, nil
+	return fleet.OrderAnswer{Result: fleet.OrderAccepted}, nil
 }
 
 func (e *countingEngines) Report(context.Context, string, string) (fleet.Report, error) {
@@ -37,7 +37,7 @@
 	r := roster.New(roster.Config{Start: now}, roster.Entry{ID: "a", Address: "a", Incarnation: 1})
 	m := leadership.New(now.Add(-time.Minute), "a", dutyName, time.Second, true)
 	assert.Assert(t, m.Update(now, r))
-	m.Take(now, 7, true)
+	m.Acquire(now, 7, true)
 	engines := &countingEngines{}
 	n := &Node{
 		settings: &schema.EdgeSettings{Vm: &schema.EdgeVM{Id: "a"}}, log: events.Discard(),
@@ -51,18 +51,18 @@
 	sc := &schedule{s: scheduler.New(scheduler.Config{})}
 	give := func(fence uint64) int {
 		n.schedules.order(sc, &fleet.Target{ID: "t"}, scheduler.Action{
-			Kind: scheduler.ActLoad, Ref: coord.AdapterRef{Model: "m", Adapter: "x"}, Fence: fence,
+			Kind: scheduler.ActLoad, Ref: coord.AdapterRef{Model: "m", Adapter: "x"}, FencingToken: fence,
 		})
 		return engines.orders
 	}
-	assert.Equal(t, give(m.Fence()-1), 0, "the lease before")
-	assert.Equal(t, give(m.Fence()), 1)
+	assert.Equal(t, give(m.FencingToken()-1), 0, "the lease before")
+	assert.Equal(t, give(m.FencingToken()), 1)
 	now = now.Add(2 * maxTickAge)
-	assert.Equal(t, give(m.Fence()), 1, "after a standstill")
+	assert.Equal(t, give(m.FencingToken()), 1, "after a standstill")
 	n.lastTick = now
-	assert.Equal(t, give(m.Fence()), 2)
+	assert.Equal(t, give(m.FencingToken()), 2)
 	source.suspend(2 * maxTickAge)
-	assert.Equal(t, give(m.Fence()), 2, "after a suspension, in which the steady clock stood still")
+	assert.Equal(t, give(m.FencingToken()), 2, "after a suspension, in which the steady clock stood still")
 }
 
 // suspendable is a machine that a test suspends.
@@ -73,8 +73,8 @@
 func (s *suspendable) clock(steady *time.Time) *clock.Clock {
 	start := *steady
 	c, _ := clock.New(clock.Source{
-		Steady: func() time.Time { return *steady },
-		Boot:   func() (time.Duration, error) { return steady.Sub(start) + s.suspended, nil },
+		Monotonic: func() time.Time { return *steady },
+		BootTime:  func() (time.Duration, error) { return steady.Sub(start) + s.suspended, nil },
 	})
 	return c
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -24,8 +24,8 @@
 func (h *peerHandler) ServeForward(_ context.Context, _ coord.VMID, _ *schema.Forward, _ *peer.AnswerWriter) {
 }
 
-// Heard takes a heartbeat with what its sender knows of the fleet.
-func (h *peerHandler) Heard(b *schema.Heartbeat) {
+// HandleHeartbeat takes a heartbeat with what its sender knows of the fleet.
+func (h *peerHandler) HandleHeartbeat(b *schema.Heartbeat) {
 	if b.Roster != nil {
 		(*Node)(h).heardRoster(coord.VMID(b.Vm), b.Roster)
 	}
@@ -43,13 +43,13 @@
 		if err != nil {
 			return &schema.Reply{Error: err.Error()}
 		}
-		n.feed.TakeFrom(from, u)
+		n.feed.ApplyFromPeer(from, u)
 		return emptyReply()
 	case *schema.Call_FeedPull:
 		if body.FeedPull.Config {
 			return n.configReply()
 		}
-		u, ok := n.feed.Since(fleet.Revision(body.FeedPull.After))
+		u, ok := n.feed.ChangesSince(fleet.Revision(body.FeedPull.After))
 		if !ok {
 			return &schema.Reply{Error: "nothing read from the store yet"}
 		}
@@ -64,9 +64,9 @@
 		n.done(from, body.Done)
 		return emptyReply()
 	case *schema.Call_FeedProof:
-		p := n.feed.Proof()
+		p := n.feed.Confirmation()
 		return &schema.Reply{Body: &schema.Reply_FeedState{FeedState: &schema.FeedState{
-			LastChange: uint64(p.LastChange), ProvenMs: provenMs(p.Proven),
+			LastChange: uint64(p.LastChange), ProvenMs: provenMs(p.ConfirmedAge),
 		}}}
 	case *schema.Call_Suspects:
 		n.contents.learn(body.Suspects)
@@ -87,7 +87,7 @@
 
 // configReply answers with the configuration in force, as an update of one item.
 func (n *Node) configReply() *schema.Reply {
-	item, ok := n.feed.ConfigInForce()
+	item, ok := n.feed.ActiveConfig()
 	if !ok {
 		return &schema.Reply{Error: "no configuration is in force"}
 	}
@@ -112,7 +112,7 @@
 // tellRoster is what heartbeats carry.
 func (n *Node) tellRoster() *schema.Roster {
 	n.mu.Lock()
-	entries, beats := n.roster.Tell(n.now())
+	entries, beats := n.roster.Digest(n.now())
 	n.mu.Unlock()
 	out := rosterToProto(entries)
 	for _, b := range beats {
@@ -121,14 +121,14 @@
 	}
 	s := n.feed.State()
 	out.FeedLastChange, out.FeedRevision = uint64(s.LastChange), uint64(s.To)
-	out.FeedAgeMs, out.FeedReads, out.ConfigVersion = s.Age.Milliseconds(), s.Reads, s.ConfigVersion
+	out.FeedAgeMs, out.FeedReads, out.ConfigVersion = s.Age.Milliseconds(), s.ReadCount, s.ConfigVersion
 	return out
 }
 
 // wholeRoster is for a VM that joins, or that lacks entries.
 func (n *Node) wholeRoster() *schema.Roster {
 	n.mu.Lock()
-	entries := n.roster.TellAll()
+	entries := n.roster.Snapshot()
 	n.mu.Unlock()
 	return rosterToProto(entries)
 }
@@ -138,7 +138,7 @@
 	for _, e := range entries {
 		out.Entries = append(out.Entries, &schema.RosterEntry{
 			Vm: string(e.ID), Address: e.Address, Zone: e.Zone, Incarnation: e.Incarnation,
-			Beat: e.Beat, Leaving: e.Leaving, Fence: e.Fence, Capacity: e.Capacity,
+			Beat: e.Heartbeat, Leaving: e.Leaving, Fence: e.FencingToken, Capacity: e.Capacity,
 		})
 	}
 	return out
@@ -149,7 +149,7 @@
 	for _, e := range r.Entries {
 		entries = append(entries, roster.Entry{
 			ID: coord.VMID(e.Vm), Address: e.Address, Zone: e.Zone, Incarnation: e.Incarnation,
-			Beat: e.Beat, Leaving: e.Leaving, Fence: e.Fence, Capacity: e.Capacity,
+			Heartbeat: e.Beat, Leaving: e.Leaving, FencingToken: e.Fence, Capacity: e.Capacity,
 		})
 	}
 	return entries
@@ -180,22 +180,22 @@
 func (n *Node) heardRoster(from coord.VMID, r *schema.Roster) {
 	n.silence.from(n.now(), from)
 	n.mergeRoster(r)
-	beats := make([]roster.Beat, 0, len(r.Digests))
+	beats := make([]roster.HeartbeatCount, 0, len(r.Digests))
 	for i, d := range r.Digests {
 		if i < len(r.Counts) {
-			beats = append(beats, roster.Beat{Digest: d, Count: r.Counts[i]})
+			beats = append(beats, roster.HeartbeatCount{Digest: d, Count: r.Counts[i]})
 		}
 	}
 	n.mu.Lock()
-	changes, unknown := n.roster.MergeBeats(n.now(), beats)
+	changes, unknown := n.roster.MergeHeartbeats(n.now(), beats)
 	n.mu.Unlock()
 	n.onRosterChanges(changes)
 	if unknown {
 		go n.askRoster(from)
 	}
-	n.feed.Heard(from, feed.State{
+	n.feed.ObserveState(from, feed.State{
 		LastChange: fleet.Revision(r.FeedLastChange), To: fleet.Revision(r.FeedRevision),
-		Age: time.Duration(r.FeedAgeMs) * time.Millisecond, Reads: r.FeedReads, ConfigVersion: r.ConfigVersion,
+		Age: time.Duration(r.FeedAgeMs) * time.Millisecond, ReadCount: r.FeedReads, ConfigVersion: r.ConfigVersion,
 	})
 }
 
@@ -228,14 +228,14 @@
 // feedPeers is how the feed reaches other VMs.
 type feedPeers Node
 
-// Reader reports whether this VM reads the store for the others.
-func (p *feedPeers) Reader() bool { return (*Node)(p).reader.Load() }
+// IsStoreWatcher reports whether this VM reads the store for the others.
+func (p *feedPeers) IsStoreWatcher() bool { return (*Node)(p).reader.Load() }
 
-// VMs returns the size of the fleet.
-func (p *feedPeers) VMs() int { return int((*Node)(p).vms.Load()) }
+// VMCount returns the size of the fleet.
+func (p *feedPeers) VMCount() int { return int((*Node)(p).vms.Load()) }
 
-// PassOn sends an update to all live VMs.
-func (p *feedPeers) PassOn(u feed.Update) {
+// Relay sends an update to all live VMs.
+func (p *feedPeers) Relay(u feed.Update) {
 	n := (*Node)(p)
 	call := &schema.Call{Body: &schema.Call_Feed{Feed: updateToProto(u)}}
 	for _, vm := range n.others() {
@@ -258,22 +258,22 @@
 	return feed.Update{}, err
 }
 
-// AskReader asks a VM that reads the store for the others, one of this zone if there is any: it
+// QueryStoreWatcher asks a VM that reads the store for the others, one of this zone if there is any: it
 // has a read of its own to prove its copy by.
-func (p *feedPeers) AskReader(ctx context.Context) (coord.VMID, feed.Proof, error) {
+func (p *feedPeers) QueryStoreWatcher(ctx context.Context) (coord.VMID, feed.Confirmation, error) {
 	vm := (*Node)(p).someReader()
 	if vm == "" {
-		return "", feed.Proof{}, errNoPeer
+		return "", feed.Confirmation{}, errNoPeer
 	}
 	reply, err := (*Node)(p).mesh.Call(ctx, vm, &schema.Call{Body: &schema.Call_FeedProof{FeedProof: &schema.FeedProof{}}})
 	if err != nil {
-		return vm, feed.Proof{}, err
+		return vm, feed.Confirmation{}, err
 	}
 	state := reply.GetFeedState()
 	if state == nil {
-		return vm, feed.Proof{}, errors.Newf("%s answered without the state of its copy", vm)
+		return vm, feed.Confirmation{}, errors.Newf("%s answered without the state of its copy", vm)
 	}
-	return vm, feed.Proof{LastChange: fleet.Revision(state.LastChange), Proven: time.Duration(state.ProvenMs) * time.Millisecond}, nil
+	return vm, feed.Confirmation{LastChange: fleet.Revision(state.LastChange), ConfirmedAge: time.Duration(state.ProvenMs) * time.Millisecond}, nil
 }
 
 // PullFrom asks one VM.
--- a/internal/edge/quotas.go
+++ b/internal/edge/quotas.go
@@ -23,7 +23,7 @@
 	node *Node
 
 	mu     sync.Mutex
-	room   quota.Room
+	room   quota.Tolerance
 	limits map[string]quota.Limit
 	ledger *quota.Ledger
 	// begun is when the ledger began, empty.
@@ -56,7 +56,7 @@
 const otherTeams = "(others)"
 
 func newQuotas(n *Node, s *schema.EdgeQuota) *quotas {
-	room := quota.Room{Window: time.Duration(s.WindowS * float64(time.Second)), Over: s.Over, Slack: s.Slack}
+	room := quota.Tolerance{Window: time.Duration(s.WindowS * float64(time.Second)), ExcessRatio: s.Over, Slack: s.Slack}
 	return &quotas{
 		node: n, room: room, ledger: quota.NewLedger(room), reserve: quota.NewReserve(room),
 		charged: map[coord.RequestKey]charge{}, waiting: map[coord.RequestKey]chan struct{}{}, teams: map[string]*TeamCount{},
@@ -113,9 +113,9 @@
 	alone := n.isAlone()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.SetShare(now, share)
-	q.reserve.SetFleet(now, known, noticed)
-	q.reserve.SetAlone(now, alone)
+	q.ledger.SetFleetShare(now, share)
+	q.reserve.SetFleetSize(now, known, noticed)
+	q.reserve.SetDisconnected(now, alone)
 	for key, c := range q.charged {
 		if now.After(c.expires) {
 			delete(q.charged, key)
@@ -127,7 +127,7 @@
 func (n *Node) heardShare() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return float64(n.roster.Heard()) / float64(n.roster.Size())
+	return float64(n.roster.ResponsiveCount()) / float64(n.roster.Size())
 }
 
 // acts reports whether other VMs ask this one.
@@ -172,7 +172,7 @@
 			return refusal("verdict_timeout", unknownPause)
 		}
 		if !q.node.acts() {
-			return refusal(scheduler.ReasonMoved, 0)
+			return refusal(scheduler.ReasonNotLeader, 0)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	now := q.node.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Withdraw(now, a.Team, a.Cost)
+	q.ledger.CancelPromise(now, a.Team, a.Cost)
 	_, there = q.waiting[key]
 	delete(q.waiting, key)
 	return there
@@ -208,7 +208,7 @@
 	now := q.node.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if ok, wait = q.ledger.Take(now, a.Team, a.Cost); !ok {
+	if ok, wait = q.ledger.Charge(now, a.Team, a.Cost); !ok {
 		return false, wait
 	}
 	q.count(a.Team, a.Cost, true)
@@ -242,7 +242,7 @@
 	}
 	delete(q.charged, key)
 	if !ran {
-		q.ledger.Return(q.node.now(), c.team, c.cost)
+		q.ledger.Refund(q.node.now(), c.team, c.cost)
 	}
 }
 
@@ -254,8 +254,8 @@
 	now := q.node.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.reserve.SetAlone(now, true)
-	ok := q.reserve.Take(now, r.Team, r.Cost, rand.Float64())
+	q.reserve.SetDisconnected(now, true)
+	ok := q.reserve.Charge(now, r.Team, r.Cost, rand.Float64())
 	q.count(r.Team, r.Cost, ok)
 	return ok
 }
@@ -278,20 +278,20 @@
 	}
 }
 
-// TeamRow is one team's account, for operators.
-type TeamRow struct {
+// TeamAccount is one team's account, for operators.
+type TeamAccount struct {
 	TeamCount
 	// Level is how full its account at this VM is: 1 when nothing was taken.
 	Level float64
 }
 
 // rows lists the accounts of teams at this VM.
-func (q *quotas) rows() map[string]TeamRow {
+func (q *quotas) rows() map[string]TeamAccount {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	out := make(map[string]TeamRow, len(q.teams))
+	out := make(map[string]TeamAccount, len(q.teams))
 	for name, c := range q.teams {
-		out[name] = TeamRow{TeamCount: *c}
+		out[name] = TeamAccount{TeamCount: *c}
 	}
 	for _, l := range q.ledger.Levels(q.node.now()) {
 		if row, counted := out[l.Team]; counted {
--- a/internal/edge/quotas_test.go
+++ b/internal/edge/quotas_test.go
@@ -30,7 +30,7 @@
 	}
 	n.acting.Store(new(coord.VMID))
 	n.roster = roster.New(roster.Config{SuspectAfter: time.Second, ForgetAfter: time.Minute, AbandonAfter: time.Minute, Start: at}, roster.Entry{ID: "a"})
-	n.roster.Merge(at, []roster.Entry{{ID: "b", Beat: 1}, {ID: "c", Beat: 1}})
+	n.roster.Merge(at, []roster.Entry{{ID: "b", Heartbeat: 1}, {ID: "c", Heartbeat: 1}})
 	n.quotas = newQuotas(n, &schema.EdgeQuota{WindowS: 8, Over: 0.25, Slack: 100})
 	team := &fleet.Team{Name: "crew", Quota: fleet.Quota{PerSecond: 1000, Burst: 1000}}
 	n.quotas.apply(&feed.Directory{Config: &fleet.Config{Teams: fleet.NewTeams([]*fleet.Team{team}, true)}})
@@ -116,7 +116,7 @@
 		go func() { verdicts <- ask(20) }()
 		synctest.Wait()
 		n.acting.Store(new(coord.VMID("b")))
-		assert.Equal(t, (<-verdicts).Reason, scheduler.ReasonMoved, "another VM is asked now")
+		assert.Equal(t, (<-verdicts).Reason, scheduler.ReasonNotLeader, "another VM is asked now")
 	})
 }
 
--- a/internal/edge/ratelimits.go
+++ b/internal/edge/ratelimits.go
@@ -37,25 +37,25 @@
 
 // heard takes what an answer to this VM says of its target's limit. v is the verdict on which the
 // answered request was sent; nil: it is not known, or was none.
-func (rl *rateLimits) heard(target string, limit fleet.RateLimit, v *gateway.Verdict) {
-	unreadable := limit.Named && limit.PerSecond == fleet.UnreadableRate
-	if unreadable || !limit.Named && (v == nil || v.Rate.Stamp == 0) {
+func (rl *rateLimits) heard(target string, limit fleet.RateLimit, v *gateway.Decision) {
+	unreadable := limit.Present && limit.PerSecond == fleet.InvalidRate
+	if unreadable || !limit.Present && (v == nil || v.RateLimit.Stamp == 0) {
 		return
 	}
-	m := &schema.RateLimit{Target: target, PerSecond: limit.PerSecond, Ended: !limit.Named}
-	if limit.Named && rl.lowered(target, limit.PerSecond) {
+	m := &schema.RateLimit{Target: target, PerSecond: limit.PerSecond, Ended: !limit.Present}
+	if limit.Present && rl.lowered(target, limit.PerSecond) {
 		rl.tellAll(m)
 		return
 	}
-	if v == nil || limit.Named && v.Rate.Stamp != 0 && v.Rate.PerSecond == limit.PerSecond {
+	if v == nil || limit.Present && v.RateLimit.Stamp != 0 && v.RateLimit.PerSecond == limit.PerSecond {
 		return
 	}
-	m.Stamp = v.Rate.Stamp
-	if coord.VMID(v.From) == coord.VMID(rl.node.settings.Vm.Id) {
-		rl.take(coord.VMID(v.From), m)
+	m.Stamp = v.RateLimit.Stamp
+	if coord.VMID(v.DecidedBy) == coord.VMID(rl.node.settings.Vm.Id) {
+		rl.take(coord.VMID(v.DecidedBy), m)
 		return
 	}
-	go rl.node.tell(coord.VMID(v.From), rateLimitsCall(m))
+	go rl.node.tell(coord.VMID(v.DecidedBy), rateLimitsCall(m))
 }
 
 // lowered takes a limit that is new or lower than the known one. It reports whether all VMs are to be
@@ -63,12 +63,12 @@
 func (rl *rateLimits) lowered(target string, perSecond float64) (tell bool) {
 	rl.mu.Lock()
 	before := rl.table.Limit(target)
-	changed := rl.table.Name(rl.node.now(), target, perSecond, 0)
+	changed := rl.table.ObserveLimit(rl.node.now(), target, perSecond, 0)
 	rl.mu.Unlock()
 	if !changed {
 		return false
 	}
-	rl.node.log.RateLimitNamed(target, perSecond)
+	rl.node.log.RateLimitAnnounced(target, perSecond)
 	rl.apply()
 	return before.Stamp == 0 || perSecond < retellBelow*before.PerSecond
 }
@@ -83,12 +83,12 @@
 	switch {
 	case m.InForce && (acts || from != *rl.node.acting.Load()):
 	case m.InForce:
-		rl.table.Replace(now, m.Target, m.PerSecond, m.Ended)
+		rl.table.ApplyUpdate(now, m.Target, m.PerSecond, m.Ended)
 		changed = true
 	case m.Ended:
-		changed = rl.table.End(m.Target, m.Stamp)
+		changed = rl.table.ObserveNoLimit(m.Target, m.Stamp)
 	default:
-		changed = rl.table.Name(now, m.Target, m.PerSecond, m.Stamp)
+		changed = rl.table.ObserveLimit(now, m.Target, m.PerSecond, m.Stamp)
 	}
 	rl.mu.Unlock()
 	if !changed {
@@ -108,7 +108,7 @@
 		rl.node.log.RateLimitEnded(m.Target)
 		return
 	}
-	rl.node.log.RateLimitNamed(m.Target, m.PerSecond)
+	rl.node.log.RateLimitAnnounced(m.Target, m.PerSecond)
 }
 
 // apply carries the limits to the schedulers and lines.
@@ -133,7 +133,7 @@
 	rl.mu.Lock()
 	changed := rl.share != share && !rl.table.Empty()
 	rl.share = share
-	rl.table.Keep(func(id string) bool { return !d.Gone[id] })
+	rl.table.Retain(func(id string) bool { return !d.Removed[id] })
 	rl.mu.Unlock()
 	if changed {
 		rl.apply()
--- a/internal/edge/ratelimits_test.go
+++ b/internal/edge/ratelimits_test.go
@@ -26,23 +26,25 @@
 }
 
 func named(perSecond float64) fleet.RateLimit {
-	return fleet.RateLimit{Named: true, PerSecond: perSecond}
+	return fleet.RateLimit{Present: true, PerSecond: perSecond}
 }
 
 // placedBy is a verdict by a limit that vm a placed a request by.
-func placedBy(l ratelimit.Limit) *gateway.Verdict { return &gateway.Verdict{From: "a", Rate: l} }
+func placedBy(l ratelimit.Limit) *gateway.Decision {
+	return &gateway.Decision{DecidedBy: "a", RateLimit: l}
+}
 
 func TestRateLimitsOfOwnAnswers(t *testing.T) {
 	n, _ := limitedNode(t, true)
 	rl := n.rateLimits
 	rl.heard("e", fleet.RateLimit{}, placedBy(ratelimit.Limit{}))
-	rl.heard("e", named(fleet.UnreadableRate), placedBy(ratelimit.Limit{}))
+	rl.heard("e", named(fleet.InvalidRate), placedBy(ratelimit.Limit{}))
 	assert.Equal(t, len(rl.Limited()), 0)
 	rl.heard("e", named(2), nil)
 	assert.Equal(t, rl.Limit("e").PerSecond, 2.0)
 	rl.heard("e", named(5), nil)
 	rl.heard("e", fleet.RateLimit{}, nil)
-	rl.heard("e", named(fleet.UnreadableRate), placedBy(rl.Limit("e")))
+	rl.heard("e", named(fleet.InvalidRate), placedBy(rl.Limit("e")))
 	assert.Equal(t, rl.Limit("e").PerSecond, 2.0, "nobody knows when those answers were made")
 	rl.heard("e", named(5), placedBy(rl.Limit("e")))
 	assert.Equal(t, rl.Limit("e").PerSecond, 5.0)
@@ -78,6 +80,6 @@
 	}
 	assert.Equal(t, n.lastKnown(r).Target, "e")
 	n.rateLimits.heard("e", named(1), nil)
-	r.Limited = n.rateLimits.Limited()
+	r.RateLimited = n.rateLimits.Limited()
 	assert.Equal(t, n.lastKnown(r).Target, "")
 }
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -31,7 +31,7 @@
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){n.feed.Run, n.feed.Prove, n.beatLoop, n.tickLoop, n.seedLoop} {
+	for _, loop := range []func(context.Context){n.feed.Run, n.feed.RunConfirmation, n.beatLoop, n.tickLoop, n.seedLoop} {
 		wg.Go(func() { loop(work) })
 	}
 	go n.mesh.Serve(n.peerListener)
@@ -101,7 +101,7 @@
 func (n *Node) shutdown(door *http.Server) {
 	grace := time.Duration(n.settings.Times.GraceS * float64(time.Second))
 	end := n.now().Add(grace - exitMargin)
-	n.log.Draining(n.gateway.Open())
+	n.log.Draining(n.gateway.OpenRequests())
 	n.drain.Store(true)
 	n.gateway.Drain()
 	n.mu.Lock()
@@ -113,7 +113,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.until(end))
 	defer cancel()
 	if err := door.Shutdown(ctx); err != nil {
-		n.log.DrainIncomplete(n.gateway.Open(), err)
+		n.log.DrainIncomplete(n.gateway.OpenRequests(), err)
 	}
 }
 
@@ -138,6 +138,6 @@
 			continue
 		}
 		tidied = now
-		n.gateway.Tidy()
+		n.gateway.Prune()
 	}
 }
--- a/internal/edge/running.go
+++ b/internal/edge/running.go
@@ -29,13 +29,13 @@
 	return &running{now: now, grants: map[uint64]runningGrant{}}
 }
 
-func (r *running) add(a *gateway.AdmitRequest, v gateway.Verdict) {
+func (r *running) add(a *gateway.AdmitRequest, v gateway.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.grants[v.Ticket] = runningGrant{deadline: a.Deadline, grant: grantMessage(r.now(), a, v)}
 }
 
-func grantMessage(now time.Time, a *gateway.AdmitRequest, v gateway.Verdict) *schema.Grant {
+func grantMessage(now time.Time, a *gateway.AdmitRequest, v gateway.Decision) *schema.Grant {
 	return &schema.Grant{
 		Ticket: v.Ticket, Service: v.Service, Target: v.Target,
 		Model: a.Request.Adapter.Model, Adapter: a.Request.Adapter.Adapter,
@@ -92,6 +92,6 @@
 		return
 	}
 	for _, sc := range ss.services {
-		sc.s.Told(now, from)
+		sc.s.RunningReported(now, from)
 	}
 }
--- a/internal/edge/schedule.go
+++ b/internal/edge/schedule.go
@@ -66,16 +66,16 @@
 		ss.services[name] = sc
 		rates, share := ss.node.rateLimits.current()
 		sc.s.SetRates(now, rates, share)
-		sc.s.SetActing(now, ss.acting, nil)
+		sc.s.SetLeading(now, ss.acting, nil)
 		sc.s.SetLease(now, ss.fence)
 	}
 	sc.s.Configure(cfg)
 	sc.targets = map[string]*fleet.Target{}
 	sc.revision = d.Revision
-	var listed []scheduler.Listed
-	for _, t := range d.Of(name) {
+	var listed []scheduler.AnnouncedTarget
+	for _, t := range d.TargetsOf(name) {
 		sc.targets[t.ID] = t
-		listed = append(listed, scheduler.Listed{
+		listed = append(listed, scheduler.AnnouncedTarget{
 			ID: t.ID, Ready: t.State == fleet.TargetReady, Resident: holdings(t.Resident),
 		})
 	}
@@ -109,7 +109,7 @@
 		MaxLoads:      transitPerLoad * max(1, int(math.Ceil(e.StoreLoadsPerSecond/loadsPerSlot))),
 	}
 	if e.StoreLoadsPerSecond > 0 {
-		cfg.ModelLoadGap = time.Duration(float64(time.Second) / e.StoreLoadsPerSecond / max(over, 1) * modelGapMargin)
+		cfg.ModelLoadInterval = time.Duration(float64(time.Second) / e.StoreLoadsPerSecond / max(over, 1) * modelGapMargin)
 	}
 	for _, m := range e.Models {
 		cfg.ModelLoadTime[m.Name] = m.LoadTime
@@ -120,12 +120,12 @@
 	return cfg
 }
 
-func holdings(models []fleet.ResidentModel) []scheduler.Holding {
-	var out []scheduler.Holding
+func holdings(models []fleet.ResidentModel) []scheduler.ResidentItem {
+	var out []scheduler.ResidentItem
 	for _, m := range models {
-		out = append(out, scheduler.Holding{Ref: coord.AdapterRef{Model: m.Name}})
+		out = append(out, scheduler.ResidentItem{Ref: coord.AdapterRef{Model: m.Name}})
 		for _, a := range m.Adapters {
-			out = append(out, scheduler.Holding{
+			out = append(out, scheduler.ResidentItem{
 				Ref: coord.AdapterRef{Model: m.Name, Adapter: a.Name}, Version: a.Version,
 			})
 		}
@@ -135,7 +135,7 @@
 
 // setActing says whether other VMs ask this one, and which they are.
 func (ss *schedules) setActing(acting bool, others []coord.VMID) {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.SetActing(now, acting, others) })
+	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.SetLeading(now, acting, others) })
 	ss.mu.Lock()
 	ss.acting = acting
 	ss.mu.Unlock()
@@ -155,12 +155,12 @@
 
 // silent takes the news that a VM is away.
 func (ss *schedules) silent(vm coord.VMID) {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.Silent(now, vm) })
+	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.VMUnresponsive(now, vm) })
 }
 
 // restarted takes the news that a VM has started anew.
 func (ss *schedules) restarted(vm coord.VMID, incarnation uint64) {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.Restarted(now, vm, incarnation) })
+	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.VMRestarted(now, vm, incarnation) })
 }
 
 func (ss *schedules) each(f func(sc *schedule, now time.Time) []scheduler.Action) {
@@ -220,10 +220,10 @@
 	r := scheduler.Request{
 		Key: key, Ref: coord.AdapterRef{Model: a.Model, Adapter: a.Adapter},
 		PromptTokens: int(a.PromptTokens), OutputTokens: int(a.OutputTokens),
-		Priority: int(a.Priority), Exclude: a.Exclude, Resting: a.Resting,
-		Objective: time.Duration(a.AimMs) * time.Millisecond,
-		Deadline:  now.Add(time.Duration(a.LeftMs) * time.Millisecond),
-		FirstBy:   now.Add(time.Duration(a.PatienceMs) * time.Millisecond),
+		Priority: int(a.Priority), Exclude: a.Exclude, BackedOff: a.Resting,
+		Objective:          time.Duration(a.AimMs) * time.Millisecond,
+		Deadline:           now.Add(time.Duration(a.LeftMs) * time.Millisecond),
+		FirstEventDeadline: now.Add(time.Duration(a.PatienceMs) * time.Millisecond),
 	}
 	for _, p := range a.Parts {
 		r.Parts = append(r.Parts, coord.PromptPart{ID: p.Id, Tokens: int(p.Tokens)})
@@ -246,7 +246,7 @@
 		return
 	}
 	if d.Ending == schema.Ending_ENDING_FIRST_EVENT {
-		sc.s.First(now, key)
+		sc.s.FirstEvent(now, key)
 		ss.mu.Unlock()
 		return
 	}
@@ -266,15 +266,15 @@
 			sc.verdict(a, ss.node.rateLimits.Limit(a.Target), ss.node.feed.Age())
 		case scheduler.ActRefuse:
 			sc.verdict(a, ss.node.rateLimits.Limit(a.Target), ss.node.feed.Age())
-			if a.Reason != scheduler.ReasonMoved {
+			if a.Reason != scheduler.ReasonNotLeader {
 				st := sc.s.Stats()
-				ss.node.log.VerdictRefused(string(a.Key.VM), a.Key.Ticket, sc.service, a.Reason, st.Waiting, st.Loads, st.MaxLoads)
+				ss.node.log.SchedulerRefused(string(a.Key.VM), a.Key.Ticket, sc.service, a.Reason, st.Waiting, st.Loads, st.MaxLoads)
 			}
 		case scheduler.ActLoad, scheduler.ActUnload:
 			if t := sc.targets[a.Target]; t != nil {
 				work = append(work, func() { ss.node.orders.Submit(func() { ss.order(sc, t, a) }) })
 			}
-		case scheduler.ActRead:
+		case scheduler.ActReadReport:
 			if t := sc.targets[a.Target]; t != nil {
 				work = append(work, func() { ss.node.reports.Submit(func() { ss.read(sc, t) }) })
 			}
--- a/internal/edge/teams.go
+++ b/internal/edge/teams.go
@@ -43,7 +43,7 @@
 	var out []string
 	for _, key := range t.Keys {
 		if !slices.Contains(other.Keys, key) {
-			out = append(out, hex.EncodeToString(key.Shown()))
+			out = append(out, hex.EncodeToString(key.LogPrefix()))
 		}
 	}
 	return out
--- a/internal/edge/update.go
+++ b/internal/edge/update.go
@@ -32,7 +32,7 @@
 )
 
 func updateToProto(u feed.Update) *schema.FeedUpdate {
-	out := &schema.FeedUpdate{From: uint64(u.From), To: uint64(u.To), Snapshot: u.Snapshot, AgeMs: u.Age.Milliseconds(), Reads: u.Reads, ProvenMs: provenMs(u.Proven)}
+	out := &schema.FeedUpdate{From: uint64(u.From), To: uint64(u.To), Snapshot: u.Snapshot, AgeMs: u.Age.Milliseconds(), Reads: u.ReadCount, ProvenMs: provenMs(u.ConfirmedAge)}
 	for _, i := range u.Items {
 		out.Items = append(out.Items, &schema.StoreItem{
 			Key: i.Key, Value: i.Value, Revision: uint64(i.Revision), Deleted: i.Deleted,
@@ -60,7 +60,7 @@
 func updateFromProto(u *schema.FeedUpdate) (feed.Update, error) {
 	out := feed.Update{
 		From: fleet.Revision(u.From), To: fleet.Revision(u.To), Snapshot: u.Snapshot, Age: time.Duration(u.AgeMs) * time.Millisecond,
-		Reads: u.Reads, Proven: time.Duration(u.ProvenMs) * time.Millisecond,
+		ReadCount: u.Reads, ConfirmedAge: time.Duration(u.ProvenMs) * time.Millisecond,
 	}
 	items := u.Items
 	if len(u.Packed) > 0 {
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -36,7 +36,7 @@
 }
 
 // completion serves both completion paths.
-func (d *Door) completion(w http.ResponseWriter, r *http.Request) {
+func (d *Server) completion(w http.ResponseWriter, r *http.Request) {
 	c, ok := d.begin(w, r)
 	if !ok {
 		return
@@ -129,7 +129,7 @@
 		},
 		key: m.Key,
 		pick: func(avoid []coord.TargetID) (router.Route, bool) {
-			return c.door.cfg.Router.Engine(m, avoid)
+			return c.door.cfg.Router.PickEngine(m, avoid)
 		},
 		executor: func(r router.Route) forward.Executor { return c.door.cfg.Owner(r.Owner) },
 	}
@@ -147,7 +147,7 @@
 	return modelObject{ID: id, Object: "model", OwnedBy: "junctionfold"}
 }
 
-func (d *Door) models(w http.ResponseWriter, r *http.Request) {
+func (d *Server) models(w http.ResponseWriter, r *http.Request) {
 	c, ok := d.begin(w, r)
 	if !ok {
 		return
@@ -161,7 +161,7 @@
 	writeJSON(w, list)
 }
 
-func (d *Door) model(w http.ResponseWriter, r *http.Request) {
+func (d *Server) model(w http.ResponseWriter, r *http.Request) {
 	c, ok := d.begin(w, r)
 	if !ok {
 		return
--- a/internal/entry/door.go
+++ b/internal/entry/door.go
@@ -47,16 +47,16 @@
 	Now     func() time.Time
 }
 
-// Door is the front door of one VM.
-type Door struct {
+// Server is the front door of one VM.
+type Server struct {
 	cfg  Config
 	mux  *http.ServeMux
 	open atomic.Int64
 }
 
 // New returns a Door.
-func New(cfg Config) *Door {
-	d := &Door{cfg: cfg, mux: http.NewServeMux()}
+func New(cfg Config) *Server {
+	d := &Server{cfg: cfg, mux: http.NewServeMux()}
 	d.mux.HandleFunc("POST /v1/chat/completions", d.completion)
 	d.mux.HandleFunc("POST /v1/completions", d.completion)
 	d.mux.HandleFunc("GET /v1/models", d.models)
@@ -68,10 +68,10 @@
 	return d
 }
 
-// Open returns how many requests are open.
-func (d *Door) Open() int { return int(d.open.Load()) }
+// OpenRequests returns how many requests are open.
+func (d *Server) OpenRequests() int { return int(d.open.Load()) }
 
-func (d *Door) ready(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !d.cfg.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -81,7 +81,7 @@
 
 // call is one request at the door.
 type call struct {
-	door    *Door
+	door    *Server
 	w       http.ResponseWriter
 	r       *http.Request
 	id      string
@@ -107,7 +107,7 @@
 }
 
 // ServeHTTP admits a request and gives it its id.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	open := d.open.Add(1)
 	defer d.open.Add(-1)
 	id := requestID(r)
@@ -120,7 +120,7 @@
 	d.mux.ServeHTTP(w, r)
 }
 
-func (d *Door) newCall(w http.ResponseWriter, r *http.Request) *call {
+func (d *Server) newCall(w http.ResponseWriter, r *http.Request) *call {
 	id := w.Header().Get(target.RequestIDKey)
 	return &call{
 		door: d, w: w, r: r, id: id, catalog: d.cfg.Router.Catalog(),
@@ -128,13 +128,13 @@
 	}
 }
 
-func (d *Door) notFound(w http.ResponseWriter, r *http.Request) {
+func (d *Server) notFound(w http.ResponseWriter, r *http.Request) {
 	c := d.newCall(w, r)
 	c.fail(refusal("path_not_found", http.StatusNotFound, 0, "no such path: "+r.URL.Path))
 }
 
 // begin returns the call when the VM has a bundle, else answers it.
-func (d *Door) begin(w http.ResponseWriter, r *http.Request) (*call, bool) {
+func (d *Server) begin(w http.ResponseWriter, r *http.Request) (*call, bool) {
 	c := d.newCall(w, r)
 	d.cfg.Metrics.Requests.Add(1)
 	if c.catalog == nil {
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -12,17 +12,17 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// KeyHeader carries a caller's idempotency key.
-const KeyHeader = "Idempotency-Key"
+// IdempotencyKeyHeader carries a caller's idempotency key.
+const IdempotencyKeyHeader = "Idempotency-Key"
 
 // maxKeyBytes bounds an idempotency key.
 const maxKeyBytes = 255
 
 // serve runs a job for the caller, guarded by its key when it has one.
 func (c *call) serve(ctx context.Context, j *job) {
-	key := c.r.Header.Get(KeyHeader)
+	key := c.r.Header.Get(IdempotencyKeyHeader)
 	if len(key) > maxKeyBytes {
-		c.failParam(refusal(forward.CodeBadRequest, http.StatusBadRequest, 0, "the key has more than 255 bytes"), KeyHeader)
+		c.failParam(refusal(forward.CodeBadRequest, http.StatusBadRequest, 0, "the key has more than 255 bytes"), IdempotencyKeyHeader)
 		return
 	}
 	if key == "" || j.idempotent {
@@ -45,11 +45,11 @@
 			return
 		}
 		c.door.cfg.Records.Finish(context.WithoutCancel(ctx), run, schema.Outcome_OUTCOME_NOT_RUN, nil)
-		if decision != outcome.Join {
+		if decision != outcome.AwaitRun {
 			c.answerPrior(decision, prior)
 			return
 		}
-		if !c.runnerAlive(prior) || !wait.Sleep(ctx, records.JoinPause) {
+		if !c.runnerAlive(prior) || !wait.Sleep(ctx, records.JoinPollInterval) {
 			c.answerPrior(outcome.RefuseUnknown, prior)
 			return
 		}
@@ -62,7 +62,7 @@
 	if open == nil {
 		return true
 	}
-	vm, incarnation := records.Runner(open.Run)
+	vm, incarnation := records.ParseRunID(open.Run)
 	return c.door.cfg.Alive(vm, incarnation)
 }
 
@@ -87,7 +87,7 @@
 		c.replayRecord(prior)
 	case outcome.RefuseMismatch:
 		c.failParam(refusal(forward.CodeKeyReused, http.StatusUnprocessableEntity, 0,
-			"the key was used for a different request"), KeyHeader)
+			"the key was used for a different request"), IdempotencyKeyHeader)
 	case outcome.RefuseFull:
 		c.fail(refusal(forward.CodeRecordsFull, http.StatusServiceUnavailable, unknownRetry,
 			"no room for another outcome record"))
@@ -111,6 +111,6 @@
 		c.fail(unknown(prior))
 		return
 	}
-	c.door.cfg.Metrics.Replayed.Add(1)
+	c.door.cfg.Metrics.AnswersReplayed.Add(1)
 	replay(c.w, answer)
 }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -44,7 +44,7 @@
 // tryAll makes the attempts. Once part of the answer has gone to the caller there
 // is no other one.
 func (c *call) tryAll(ctx context.Context, j *job, sink *answerSink) (last *schema.Failure, mayHaveRun bool) {
-	c.door.cfg.Retries.First()
+	c.door.cfg.Retries.Deposit()
 	var avoid []coord.TargetID
 	for n := uint32(1); n <= maxAttempts; n++ {
 		route, ok := j.pick(avoid)
@@ -78,7 +78,7 @@
 // targets' load, so it does not count against the budget of retries.
 func rerouted(code string) bool {
 	switch code {
-	case forward.CodeOwnerStarting, forward.CodeNotOwner, forward.CodeOwnerStopped, forward.CodeTargetLeaving, forward.CodeSlotsHeld, forward.CodeUnreachable:
+	case forward.CodeOwnerStarting, forward.CodeNotOwner, forward.CodeOwnerStopped, forward.CodeTargetLeaving, forward.CodeSlotsHeld, forward.CodeOwnerUnreachable:
 		return true
 	}
 	return false
@@ -90,7 +90,7 @@
 		return false
 	}
 	switch f.Code {
-	case forward.CodeOwnerStarting, forward.CodeNotOwner, forward.CodeUnreachable, forward.CodeOwnerStopped, forward.CodeSlotsHeld:
+	case forward.CodeOwnerStarting, forward.CodeNotOwner, forward.CodeOwnerUnreachable, forward.CodeOwnerStopped, forward.CodeSlotsHeld:
 		return true
 	}
 	return false
@@ -106,7 +106,7 @@
 		return refusal(forward.CodeTimeout, http.StatusGatewayTimeout, 0, "the deadline passed before an attempt")
 	}
 	result := j.executor(route).Execute(ctx, f, sink)
-	c.door.cfg.Router.Heard(j.key, result.Hint)
+	c.door.cfg.Router.ObserveLoad(j.key, result.Hint)
 	c.noteTarget(route, result.Failure)
 	if result.Failure != nil {
 		c.log.WithField("target", f.Target).WithField("owner", string(route.Owner)).WithField("attempt", n).
@@ -121,7 +121,7 @@
 	if !served && !blames(f.Code) {
 		return
 	}
-	if c.door.cfg.Router.Ended(route.Target, served) {
+	if c.door.cfg.Router.RecordResult(route.Target, served) {
 		c.log.WithField("target", string(route.Target)).Warn("target_ejected")
 	}
 }
@@ -129,7 +129,7 @@
 // blames reports whether a failure speaks against the target.
 func blames(code string) bool {
 	switch code {
-	case forward.CodeTargetDown, forward.CodeCut, forward.CodeWrongAdapter, forward.CodeUnreachable, "adapter_load_failed":
+	case forward.CodeTargetUnreachable, forward.CodeAnswerTruncated, forward.CodeWrongAdapter, forward.CodeOwnerUnreachable, "adapter_load_failed":
 		return true
 	}
 	return false
@@ -143,7 +143,7 @@
 	if f.Outcome != schema.Outcome_OUTCOME_NOT_RUN && !j.idempotent {
 		return false
 	}
-	if !rerouted(f.Code) && !c.door.cfg.Retries.Retry() {
+	if !rerouted(f.Code) && !c.door.cfg.Retries.TryWithdraw() {
 		return false
 	}
 	c.door.cfg.Metrics.Retries.Add(1)
@@ -169,10 +169,10 @@
 		c.fail(f)
 		return
 	}
-	c.door.cfg.Metrics.Aborted.Add(1)
+	c.door.cfg.Metrics.AnswersAborted.Add(1)
 	c.door.cfg.Metrics.Refusals.Add(f.Code, 1)
-	if f.Code == forward.CodeCrossed {
-		c.door.cfg.Metrics.Crossed.Add(1)
+	if f.Code == forward.CodeAnswerMismatch {
+		c.door.cfg.Metrics.AnswersMismatched.Add(1)
 	}
 	c.log.WithField("code", f.Code).WithField("detail", f.Message).Warn("answer_aborted")
 	panic(http.ErrAbortHandler)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -16,7 +16,7 @@
 )
 
 // service serves a call to a plain service.
-func (d *Door) service(w http.ResponseWriter, r *http.Request) {
+func (d *Server) service(w http.ResponseWriter, r *http.Request) {
 	c, ok := d.begin(w, r)
 	if !ok {
 		return
@@ -66,11 +66,11 @@
 	return &job{
 		forward: &schema.Forward{
 			RequestId: c.id, BundleVersion: c.catalog.Version, Method: c.r.Method, Path: path,
-			Headers: target.PassableHeaders(c.r.Header), Body: body,
+			Headers: target.ForwardableHeaders(c.r.Header), Body: body,
 		},
 		idempotent: s.Idempotent(c.r.Method),
 		pick: func(avoid []coord.TargetID) (router.Route, bool) {
-			return c.door.cfg.Router.Service(s, avoid)
+			return c.door.cfg.Router.PickService(s, avoid)
 		},
 		executor: func(r router.Route) forward.Executor {
 			return serviceCall{target.NewService(r.Address, c.door.cfg.Transport)}
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -87,52 +87,52 @@
 	// ConfigVersion and FeedAge are of the configuration that decided the route.
 	ConfigVersion uint64
 	FeedAge       time.Duration
-	// Proven bounds the age of the copy by which its key was judged; Key is the beginning of
+	// ConfirmedAge bounds the age of the copy by which its key was judged; Key is the beginning of
 	// the key's digest, and Team whose it is.
-	Proven time.Duration
-	Key    []byte
-	Team   string
-	// Sends counts attempts; Target is the last one's, chosen by DecidedBy.
-	Sends             int
+	ConfirmedAge time.Duration
+	Key          []byte
+	Team         string
+	// Attempts counts attempts; Target is the last one's, chosen by DecidedBy.
+	Attempts          int
 	Target, DecidedBy string
 	Adapter           string
 	// Took is the whole time, Admit that for verdicts of the scheduler, First
 	// that from sending to the first event.
-	Took, Admit, First time.Duration
+	Took, AdmitTime, FirstEventTime time.Duration
 	// Sent is what the last attempt was sent on.
-	Sent Sent
+	Sent SendInfo
 	Err  error
 }
 
-// Copy is a copy of the store by which a VM decided.
-type Copy struct {
+// StoreCopy is a copy of the store by which a VM decided.
+type StoreCopy struct {
 	Revision fleet.Revision
 	// Age is the time since it was known to be current.
 	Age time.Duration
 }
 
-// Sent tells what was known when an attempt was placed and when it was sent. A request
+// SendInfo tells what was known when an attempt was placed and when it was sent. A request
 // that reaches a target after its word that it leaves is explained by one of them: Placed
 // older than that word, a long VerdictLag, a long Connect, or else bytes that a link held.
-type Sent struct {
-	// Placed is the copy of the VM that chose the target.
-	Placed Copy
-	// VerdictLag is the time that question and verdict were under way.
-	VerdictLag time.Duration
+type SendInfo struct {
+	// PlacementCopy is the copy of the VM that chose the target.
+	PlacementCopy StoreCopy
+	// DecisionDelay is the time that question and verdict were under way.
+	DecisionDelay time.Duration
 	// Connect is the time until a connection to the target was at hand.
 	Connect time.Duration
-	// Sender is the copy of the entry VM then, and TargetState what that says of the
+	// SenderCopy is the copy of the entry VM then, and TargetState what that says of the
 	// target: ready, draining, gone or unknown.
-	Sender      Copy
+	SenderCopy  StoreCopy
 	TargetState string
 	// RateLimit is the target's limit by which it was placed, in requests a second; 0: none.
 	RateLimit float64
 }
 
-func (s Sent) fields(f log.Fields) log.Fields {
-	f["placed_revision"], f["placed_age_ms"] = s.Placed.Revision, s.Placed.Age.Milliseconds()
-	f["verdict_lag_ms"], f["connect_ms"] = s.VerdictLag.Milliseconds(), s.Connect.Milliseconds()
-	f["sender_revision"], f["sender_age_ms"] = s.Sender.Revision, s.Sender.Age.Milliseconds()
+func (s SendInfo) fields(f log.Fields) log.Fields {
+	f["placed_revision"], f["placed_age_ms"] = s.PlacementCopy.Revision, s.PlacementCopy.Age.Milliseconds()
+	f["verdict_lag_ms"], f["connect_ms"] = s.DecisionDelay.Milliseconds(), s.Connect.Milliseconds()
+	f["sender_revision"], f["sender_age_ms"] = s.SenderCopy.Revision, s.SenderCopy.Age.Milliseconds()
 	f["target_state"], f["rate_limit"] = s.TargetState, s.RateLimit
 	return f
 }
@@ -145,9 +145,9 @@
 	l.info("request_ended", r.Sent.fields(log.Fields{
 		"id": r.ID, "route": r.Route, "outcome": r.Outcome, "reason": r.Reason, "status": r.Status,
 		"config": r.ConfigVersion, "feed_age_ms": r.FeedAge.Milliseconds(),
-		"team": r.Team, "key": hex.EncodeToString(r.Key), "proven_ms": r.Proven.Milliseconds(),
-		"sends": r.Sends, "target": r.Target, "decided_by": r.DecidedBy, "adapter": r.Adapter,
-		"took_ms": r.Took.Milliseconds(), "admit_ms": r.Admit.Milliseconds(), "first_ms": r.First.Milliseconds(),
+		"team": r.Team, "key": hex.EncodeToString(r.Key), "proven_ms": r.ConfirmedAge.Milliseconds(),
+		"sends": r.Attempts, "target": r.Target, "decided_by": r.DecidedBy, "adapter": r.Adapter,
+		"took_ms": r.Took.Milliseconds(), "admit_ms": r.AdmitTime.Milliseconds(), "first_ms": r.FirstEventTime.Milliseconds(),
 		"error": text(r.Err),
 	}))
 }
@@ -159,7 +159,7 @@
 	Class  string
 	Status int
 	Took   time.Duration
-	Sent   Sent
+	Sent   SendInfo
 	Err    error
 }
 
@@ -177,13 +177,13 @@
 	l.info("retry_denied", log.Fields{"id": id, "service": service, "budget_left": left})
 }
 
-// SchedulerSilent says that a VM did not give a verdict and this one decided alone.
-func (l *Log) SchedulerSilent(id, peer string, err error) {
+// SchedulerUnresponsive says that a VM did not give a verdict and this one decided alone.
+func (l *Log) SchedulerUnresponsive(id, peer string, err error) {
 	l.info("scheduler_silent", log.Fields{"id": id, "peer": peer, "error": text(err)})
 }
 
-// VerdictRefused is written where a scheduler refuses a request.
-func (l *Log) VerdictRefused(peer string, ticket uint64, service, reason string, waiting, loads, maxLoads int) {
+// SchedulerRefused is written where a scheduler refuses a request.
+func (l *Log) SchedulerRefused(peer string, ticket uint64, service, reason string, waiting, loads, maxLoads int) {
 	l.info("verdict_refused", log.Fields{
 		"peer": peer, "ticket": ticket, "service": service, "reason": reason, "waiting": waiting, "loads": loads, "max_loads": maxLoads,
 	})
@@ -195,12 +195,12 @@
 	l.warn("content_suspected", log.Fields{"content": content, "targets": strings.Join(targets, ","), "held_ms": held.Milliseconds()})
 }
 
-// LineRefused is written where the line of a plain service refuses a request: how many wait
+// QueueRefused is written where the line of a plain service refuses a request: how many wait
 // and run, how many a target gets at once, and how long a call takes.
-func (l *Log) LineRefused(peer string, ticket uint64, service, reason string, s servicequeue.Stats) {
+func (l *Log) QueueRefused(peer string, ticket uint64, service, reason string, s servicequeue.Stats) {
 	l.info("line_refused", log.Fields{
 		"peer": peer, "ticket": ticket, "service": service, "reason": reason,
-		"waiting": s.Waiting, "running": s.Running, "limit": s.Limit, "work_ms": s.Work.Milliseconds(),
+		"waiting": s.Waiting, "running": s.Running, "limit": s.Limit, "work_ms": s.ServiceTime.Milliseconds(),
 	})
 }
 
@@ -209,13 +209,13 @@
 	// Kind is load or unload.
 	Kind, Target, Adapter string
 	Version               int64
-	Fence                 uint64
-	// Expect is the count of orders that it named; negative: none.
-	Expect int64
-	Result string
-	Took   time.Duration
-	Err    error
-	Basis  scheduler.Basis
+	FencingToken          uint64
+	// ExpectedOrders is the count of orders that it named; negative: none.
+	ExpectedOrders int64
+	Result         string
+	Took           time.Duration
+	Err            error
+	Basis          scheduler.Basis
 }
 
 // OrderAnswered is written for each order, also where it went well: which place of an engine
@@ -223,9 +223,9 @@
 func (l *Log) OrderAnswered(o Order) {
 	l.info("order_answered", log.Fields{
 		"order": o.Kind, "target": o.Target, "adapter": o.Adapter, "version": o.Version,
-		"fence": o.Fence, "expect": o.Expect, "result": o.Result, "took_ms": o.Took.Milliseconds(), "error": text(o.Err),
-		"taken": o.Basis.Taken, "slots": o.Basis.Slots, "in_transit": o.Basis.InTransit, "unproven": o.Basis.Unproven,
-		"report_age_ms": o.Basis.ReportAge.Milliseconds(), "kept": o.Basis.Kept, "proven": o.Basis.Proven,
+		"fence": o.FencingToken, "expect": o.ExpectedOrders, "result": o.Result, "took_ms": o.Took.Milliseconds(), "error": text(o.Err),
+		"taken": o.Basis.Occupied, "slots": o.Basis.Slots, "in_transit": o.Basis.InTransit, "unproven": o.Basis.Unconfirmed,
+		"report_age_ms": o.Basis.ReportAge.Milliseconds(), "kept": o.Basis.Cached, "proven": o.Basis.Confirmed,
 	})
 }
 
@@ -241,14 +241,14 @@
 	})
 }
 
-// TargetSaid says what a target said of itself beside an answer: that it leaves, or for how long it
+// TargetNotice says what a target said of itself beside an answer: that it leaves, or for how long it
 // wants no requests from this VM.
-func (l *Log) TargetSaid(target string, leaving bool, rest time.Duration) {
+func (l *Log) TargetNotice(target string, leaving bool, rest time.Duration) {
 	l.info("target_said", log.Fields{"target": target, "leaving": leaving, "rest_ms": rest.Milliseconds()})
 }
 
-// RateLimitNamed says that a target named a limit of its requests a second, or another one than before.
-func (l *Log) RateLimitNamed(target string, perSecond float64) {
+// RateLimitAnnounced says that a target named a limit of its requests a second, or another one than before.
+func (l *Log) RateLimitAnnounced(target string, perSecond float64) {
 	l.info("rate_limit_named", log.Fields{"target": target, "per_second": perSecond})
 }
 
@@ -273,9 +273,9 @@
 	})
 }
 
-// ItemRefused says that an item of the store could not be read, or a part of it: once for
+// StoreItemRejected says that an item of the store could not be read, or a part of it: once for
 // each key and reason in a row.
-func (l *Log) ItemRefused(key string, revision fleet.Revision, err error) {
+func (l *Log) StoreItemRejected(key string, revision fleet.Revision, err error) {
 	l.warn("store_item_refused", log.Fields{"key": key, "revision": revision, "error": text(err)})
 }
 
@@ -300,9 +300,9 @@
 	l.info("store_relisted", log.Fields{"was": was, "listed": listed, "items": items, "changed": changed})
 }
 
-// StoreEraBegan says that the store was restored from an older copy: the revision of the VM's copy before,
+// StoreEpochBegan says that the store was restored from an older copy: the revision of the VM's copy before,
 // that of the first snapshot since, its items and how many differ.
-func (l *Log) StoreEraBegan(was, is fleet.Revision, items, changed int) {
+func (l *Log) StoreEpochBegan(was, is fleet.Revision, items, changed int) {
 	l.info("store_era_began", log.Fields{"was": was, "is": is, "items": items, "changed": changed})
 }
 
@@ -321,18 +321,20 @@
 	l.info("scheduler_moved", log.Fields{"was": was, "is": is})
 }
 
-// DutyChanged says how far this VM is towards giving orders.
-func (l *Log) DutyChanged(was, is string, vms int, majority bool) {
+// LeadershipChanged says how far this VM is towards giving orders.
+func (l *Log) LeadershipChanged(was, is string, vms int, majority bool) {
 	l.info("duty_changed", log.Fields{"was": was, "is": is, "vms": vms, "majority": majority})
 }
 
-// DutyTaken says under which number this VM orders.
-func (l *Log) DutyTaken(fence uint64, revision fleet.Revision) {
+// LeadershipAcquired says under which number this VM orders.
+func (l *Log) LeadershipAcquired(fence uint64, revision fleet.Revision) {
 	l.info("duty_taken", log.Fields{"fence": fence, "revision": revision})
 }
 
-// DutyNotTaken says why it does not.
-func (l *Log) DutyNotTaken(err error) { l.warn("duty_not_taken", log.Fields{"error": text(err)}) }
+// LeadershipNotAcquired says why it does not.
+func (l *Log) LeadershipNotAcquired(err error) {
+	l.warn("duty_not_taken", log.Fields{"error": text(err)})
+}
 
 // PeerCallFailed is a message to another VM that was lost; what it carried is sent
 // again in another form or given up by its sender.
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -44,7 +44,7 @@
 		l.RequestEnded(start, Request{Outcome: "ok"})
 	}
 	l.RequestEnded(start, Request{Outcome: "refused"})
-	l.OrderAnswered(Order{Result: "begun", Expect: -1, Basis: scheduler.Basis{Taken: 4, Slots: 5, Unproven: 2, ReportAge: 1500 * time.Millisecond}})
+	l.OrderAnswered(Order{Result: "begun", ExpectedOrders: -1, Basis: scheduler.Basis{Occupied: 4, Slots: 5, Unconfirmed: 2, ReportAge: 1500 * time.Millisecond}})
 	l.OrderAnswered(Order{Result: "fenced"})
 	l.RequestEnded(start.Add(omittedEvery), Request{Outcome: "ok"})
 	l.Close()
--- a/internal/events/vm.go
+++ b/internal/events/vm.go
@@ -11,8 +11,8 @@
 	l.warn("suspended", log.Fields{"suspended_ms": d.Milliseconds()})
 }
 
-// SuspensionsUnseen says that suspensions of this VM will not be noticed.
-func (l *Log) SuspensionsUnseen(err error) {
+// SuspensionsUndetectable says that suspensions of this VM will not be noticed.
+func (l *Log) SuspensionsUndetectable(err error) {
 	l.warn("suspensions_unseen", log.Fields{"error": text(err)})
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -91,54 +91,54 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// Story is what happened to one request.
-type Story struct {
-	// Own lines name the request.
-	Own []Line
-	// Around are changes of what the VMs believed that may bear on it: of its
+// Explanation is what happened to one request.
+type Explanation struct {
+	// RequestLines lines name the request.
+	RequestLines []Line
+	// RelatedLines are changes of what the VMs believed that may bear on it: of its
 	// targets, its adapter, the configuration, the store and the fleet.
-	Around []Line
-	// Verdict is a sentence on what ended the request, and on what inputs.
-	Verdict string
+	RelatedLines []Line
+	// Conclusion is a sentence on what ended the request, and on what inputs.
+	Conclusion string
 }
 
 // lookBack is how long before a request a change may still bear on it: the
 // longest bound of the deployments known, that on a new adapter version.
 const lookBack = 5 * time.Second
 
-// ErrUnknown is returned for a request that no line names.
-var ErrUnknown = errors.New("no line names this request: it went well and was left out (see log_lines_omitted), reached no VM of these logs, or is older")
+// ErrRequestNotFound is returned for a request that no line names.
+var ErrRequestNotFound = errors.New("no line names this request: it went well and was left out (see log_lines_omitted), reached no VM of these logs, or is older")
 
 // Explain puts the story of a request together. Lines must be sorted.
-func Explain(lines []Line, id string) (*Story, error) {
-	s := &Story{}
+func Explain(lines []Line, id string) (*Explanation, error) {
+	s := &Explanation{}
 	targets, adapters, vms := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Fields["id"] != id {
 			continue
 		}
-		s.Own = append(s.Own, l)
+		s.RequestLines = append(s.RequestLines, l)
 		targets[l.Fields["target"]] = true
 		adapters[l.Fields["adapter"]] = true
 		vms[l.VM] = true
 		vms[l.Fields["decided_by"]] = true
 	}
-	if len(s.Own) == 0 {
-		return nil, ErrUnknown
+	if len(s.RequestLines) == 0 {
+		return nil, ErrRequestNotFound
 	}
 	delete(targets, "")
 	delete(adapters, "")
-	end := s.Own[len(s.Own)-1]
+	end := s.RequestLines[len(s.RequestLines)-1]
 	from := end.At.Add(-took(end) - lookBack)
 	for _, l := range lines {
 		if l.Fields["id"] != "" || l.At.Before(from) || l.At.After(end.At) {
 			continue
 		}
 		if bears(l, targets, adapters, vms) {
-			s.Around = append(s.Around, l)
+			s.RelatedLines = append(s.RelatedLines, l)
 		}
 	}
-	s.Verdict = verdict(end)
+	s.Conclusion = verdict(end)
 	return s, nil
 }
 
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -18,14 +18,14 @@
 	var first, second bytes.Buffer
 	a, b := events.New(&first, "info", "edge-1"), events.New(&second, "info", "edge-2")
 	now := time.Now()
-	b.DutyTaken(41, 7)
+	b.LeadershipAcquired(41, 7)
 	a.ConfigAdopted(1, 2, 3, 4, 5)
 	a.TargetChanged("i-1", "s", "ready", "draining", 9)
 	a.TargetChanged("i-9", "s", "", "ready", 9)
 	b.OrderAnswered(events.Order{Kind: "load", Target: "i-1", Adapter: "m/a", Result: "conflict"})
 	a.AttemptFailed(events.Attempt{ID: "r1", Target: "i-1", DecidedBy: "edge-2", Adapter: "m/a", Class: "busy", Status: 503})
 	a.RequestEnded(now, events.Request{
-		ID: "r1", Route: "x", Outcome: "refused", Reason: "not_run", Status: 503, Sends: 1, Target: "i-1", DecidedBy: "edge-2",
+		ID: "r1", Route: "x", Outcome: "refused", Reason: "not_run", Status: 503, Attempts: 1, Target: "i-1", DecidedBy: "edge-2",
 		Adapter: "m/a", Took: 20 * time.Millisecond, ConfigVersion: 2,
 	})
 	a.RequestEnded(now, events.Request{ID: "r2", Route: "x", Outcome: "refused", Reason: "not_run"})
@@ -44,9 +44,9 @@
 func TestStoryAcrossVMs(t *testing.T) {
 	s, err := Explain(logs(t), "r1")
 	assert.NilError(t, err)
-	assert.Equal(t, len(s.Own), 2)
+	assert.Equal(t, len(s.RequestLines), 2)
 	var around []string
-	for _, l := range s.Around {
+	for _, l := range s.RelatedLines {
 		around = append(around, l.Event)
 	}
 	text := strings.Join(around, " ")
@@ -54,16 +54,16 @@
 		assert.Assert(t, strings.Contains(text, want), "%s lacks %s", text, want)
 	}
 	assert.Equal(t, strings.Count(text, "target_changed"), 1, "i-9 has nothing to do with it")
-	assert.Assert(t, strings.Contains(s.Verdict, "refused (not_run), status 503; attempt 1 was at i-1, chosen by edge-2"), s.Verdict)
+	assert.Assert(t, strings.Contains(s.Conclusion, "refused (not_run), status 503; attempt 1 was at i-1, chosen by edge-2"), s.Conclusion)
 }
 
 func TestUnknownAndUnclosed(t *testing.T) {
 	lines := logs(t)
 	_, err := Explain(lines, "nobody")
-	assert.Assert(t, errors.Is(err, ErrUnknown))
+	assert.Assert(t, errors.Is(err, ErrRequestNotFound))
 	s, err := Explain(lines, "r5")
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(s.Verdict, "no line closes it"))
+	assert.Assert(t, strings.Contains(s.Conclusion, "no line closes it"))
 }
 
 func TestCauses(t *testing.T) {
@@ -92,9 +92,9 @@
 	l := events.New(&out, "info", "edge-1")
 	now := time.Now()
 	key := []byte{0xab, 0xcd, 0x01, 0x02}
-	l.RequestEnded(now, events.Request{ID: "over", Outcome: "refused", Reason: "quota", Status: 429, Key: key, Team: "crew", Proven: 700 * time.Millisecond})
-	l.RequestEnded(now, events.Request{ID: "unknown", Outcome: "denied", Reason: "unknown_key", Status: 401, Key: key, Proven: time.Second})
-	l.RequestEnded(now, events.Request{ID: "old", Outcome: "refused", Reason: "keys_not_current", Status: 503, Proven: 6 * time.Second})
+	l.RequestEnded(now, events.Request{ID: "over", Outcome: "refused", Reason: "quota", Status: 429, Key: key, Team: "crew", ConfirmedAge: 700 * time.Millisecond})
+	l.RequestEnded(now, events.Request{ID: "unknown", Outcome: "denied", Reason: "unknown_key", Status: 401, Key: key, ConfirmedAge: time.Second})
+	l.RequestEnded(now, events.Request{ID: "old", Outcome: "refused", Reason: "keys_not_current", Status: 503, ConfirmedAge: 6 * time.Second})
 	l.Close()
 	lines, _, err := Read(&out)
 	assert.NilError(t, err)
@@ -105,6 +105,6 @@
 	} {
 		s, err := Explain(lines, id)
 		assert.NilError(t, err)
-		assert.Assert(t, strings.Contains(s.Verdict, want), s.Verdict)
+		assert.Assert(t, strings.Contains(s.Conclusion, want), s.Conclusion)
 	}
 }
--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -28,13 +28,13 @@
 	Items    []fleet.Item
 	// Age is how long ago the sender knew this to be current; negative: unknown.
 	Age time.Duration
-	// Reads is the count of the read of the store that Age is from, see readID.
-	Reads uint64
-	// Proven bounds how long ago the sender's copy was current; negative: unknown. It counts
+	// ReadCount is the count of the read of the store that Age is from, see readID.
+	ReadCount uint64
+	// ConfirmedAge bounds how long ago the sender's copy was current; negative: unknown. It counts
 	// from Asked, when this VM asked for the update; zero: it did not ask, and nothing bounds
 	// how long the update was under way.
-	Proven time.Duration
-	Asked  time.Time
+	ConfirmedAge time.Duration
+	RequestedAt  time.Time
 }
 
 // cache is a copy of the store's items. It is not safe for concurrent use.
@@ -80,10 +80,10 @@
 
 // apply takes an update.
 func (c *cache) apply(now time.Time, u Update) (out applied) {
-	if c.loaded() && u.To.Era() < c.revision.Era() {
+	if c.loaded() && u.To.Epoch() < c.revision.Epoch() {
 		return out // of a history that is over
 	}
-	out.began = c.loaded() && u.To.Era() > c.revision.Era()
+	out.began = c.loaded() && u.To.Epoch() > c.revision.Epoch()
 	if !u.Snapshot && (!c.loaded() || out.began || u.From > c.revision) {
 		return applied{gap: true}
 	}
@@ -105,7 +105,7 @@
 	c.prove(u)
 	if u.To >= c.revision {
 		c.revision = u.To
-		c.refresh(now, u.Age, readID{u.To, u.Reads})
+		c.refresh(now, u.Age, readID{u.To, u.ReadCount})
 	}
 	c.remember(u, out.changed)
 	return out
@@ -156,20 +156,20 @@
 // VMs stood still. Ages that VMs tell unasked prove nothing: a message that was held up for
 // three seconds tells an age of three seconds before.
 func (c *cache) prove(u Update) {
-	if u.Asked.IsZero() || u.Proven < 0 {
+	if u.RequestedAt.IsZero() || u.ConfirmedAge < 0 {
 		return
 	}
-	c.proven = coord.Later(c.proven, u.Asked.Add(-u.Proven))
+	c.proven = coord.Later(c.proven, u.RequestedAt.Add(-u.ConfirmedAge))
 }
 
 // proveBy takes the answer of a VM that was asked how current its copy is. behind reports that
 // this copy lacks changes of that one: it is not proven then, nor by a copy of an earlier era.
-func (c *cache) proveBy(asked time.Time, p Proof) (behind bool) {
+func (c *cache) proveBy(asked time.Time, p Confirmation) (behind bool) {
 	if !c.loaded() || p.LastChange > c.revision {
 		return true
 	}
-	if p.Proven >= 0 && p.LastChange.Era() == c.revision.Era() {
-		c.proven = coord.Later(c.proven, asked.Add(-p.Proven))
+	if p.ConfirmedAge >= 0 && p.LastChange.Epoch() == c.revision.Epoch() {
+		c.proven = coord.Later(c.proven, asked.Add(-p.ConfirmedAge))
 	}
 	return false
 }
@@ -192,7 +192,7 @@
 		return false // it is behind itself
 	}
 	c.revision = max(c.revision, other.To)
-	c.refresh(now, other.Age, readID{other.To, other.Reads})
+	c.refresh(now, other.Age, readID{other.To, other.ReadCount})
 	return false
 }
 
@@ -235,7 +235,7 @@
 // since returns what changed after a revision, or a snapshot when that is no
 // longer known.
 func (c *cache) since(now time.Time, after fleet.Revision) Update {
-	u := Update{From: after, To: c.revision, Age: now.Sub(c.fresh), Reads: c.read.count, Proven: c.provenAge(now)}
+	u := Update{From: after, To: c.revision, Age: now.Sub(c.fresh), ReadCount: c.read.count, ConfirmedAge: c.provenAge(now)}
 	if c.fresh.IsZero() {
 		u.Age = unknownAge
 	}
--- a/internal/feed/copy.go
+++ b/internal/feed/copy.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Take takes an update of the store or of another VM. gap reports that changes
+// Apply takes an update of the store or of another VM. gap reports that changes
 // before it are missing.
-func (f *Feed) Take(u Update) (gap bool) {
+func (f *Feed) Apply(u Update) (gap bool) {
 	_, gap = f.take(u)
 	return gap
 }
@@ -18,19 +18,19 @@
 	f.mu.Lock()
 	f.noteRunning(now)
 	f.dir.known = f.cache.fresh
-	news = Update{From: f.cache.lastChange, To: u.To, Reads: u.Reads}
+	news = Update{From: f.cache.lastChange, To: u.To, ReadCount: u.ReadCount}
 	was := f.cache.revision
 	done := f.cache.apply(now, u)
 	news.Items = done.changed
 	if done.began {
-		f.cfg.Log.StoreEraBegan(was, u.To, len(u.Items), len(done.changed))
+		f.cfg.Log.StoreEpochBegan(was, u.To, len(u.Items), len(done.changed))
 		f.dir.beginEra(now)
-		news = Update{From: u.To.EraStart(), To: u.To, Reads: u.Reads, Items: done.changed}
+		news = Update{From: u.To.EpochStart(), To: u.To, ReadCount: u.ReadCount, Items: done.changed}
 	}
 	for _, item := range done.changed {
 		if err := f.dir.takeChange(now, item, done.began); err != nil {
 			f.refused.Add(1)
-			f.cfg.Log.ItemRefused(item.Key, item.Revision, err)
+			f.cfg.Log.StoreItemRejected(item.Key, item.Revision, err)
 		}
 	}
 	d, gone := f.settle(now, len(done.changed) > 0 || done.began)
@@ -48,7 +48,7 @@
 	for _, item := range f.dir.endedDoubts(now) {
 		changed = true
 		if err := f.dir.take(now, item); err != nil {
-			f.cfg.Log.ItemRefused(item.Key, item.Revision, err)
+			f.cfg.Log.StoreItemRejected(item.Key, item.Revision, err)
 		}
 	}
 	if !changed && len(gone) == 0 {
@@ -64,7 +64,7 @@
 	}
 	f.current.Store(d)
 	if len(gone) > 0 {
-		f.cfg.OnGone(gone)
+		f.cfg.OnRemoved(gone)
 	}
 	f.cfg.OnChange(d)
 }
--- a/internal/feed/directory.go
+++ b/internal/feed/directory.go
@@ -18,14 +18,14 @@
 	// Targets by id. Those whose announcement is gone stay for a moment.
 	Targets  map[string]*fleet.Target
 	Versions []fleet.AdapterVersion
-	// Gone are ids of targets that are not listed, and were dropped lately or said that they leave.
-	Gone map[string]bool
+	// Removed are ids of targets that are not listed, and were dropped lately or said that they leave.
+	Removed map[string]bool
 	// Revision of the store that this shows.
 	Revision fleet.Revision
 }
 
-// Of returns the targets of a service by id.
-func (d *Directory) Of(service string) []*fleet.Target {
+// TargetsOf returns the targets of a service by id.
+func (d *Directory) TargetsOf(service string) []*fleet.Target {
 	var out []*fleet.Target
 	for _, t := range d.Targets {
 		if t.Service == service {
@@ -263,17 +263,17 @@
 		Config: d.config, Revision: revision,
 		Targets:  make(map[string]*fleet.Target, len(d.targets)),
 		Versions: slices.Collect(maps.Values(d.versions)),
-		Gone:     make(map[string]bool, len(d.dropped)),
+		Removed:  make(map[string]bool, len(d.dropped)),
 	}
 	for id := range d.dropped {
-		out.Gone[id] = true
+		out.Removed[id] = true
 	}
 	for id := range d.leaving {
-		out.Gone[id] = true
+		out.Removed[id] = true
 	}
 	for _, t := range d.targets {
 		out.Targets[t.ID] = d.leaving.shown(t)
-		delete(out.Gone, t.ID)
+		delete(out.Removed, t.ID)
 	}
 	return out
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -73,7 +73,7 @@
 // failed together do not go on together.
 func (c *Config) retryPause() time.Duration {
 	most := time.Duration(maxRetryShare * float64(c.wordWithin()))
-	pause := max(min(time.Duration(c.Peers.VMs())*retryGap, most), leastRetryGap)
+	pause := max(min(time.Duration(c.Peers.VMCount())*retryGap, most), leastRetryGap)
 	return pause/2 + rand.N(pause)
 }
 
@@ -93,14 +93,14 @@
 	ApplyWithin time.Duration
 	// DrainWithin is the time in which a leaving target must be left alone.
 	DrainWithin time.Duration
-	// ProveWithin is how old a copy may be to judge keys by, where requests carry keys; 0: any.
-	ProveWithin time.Duration
+	// ConfirmWithin is how old a copy may be to judge keys by, where requests carry keys; 0: any.
+	ConfirmWithin time.Duration
 	// OnChange is called after the directory changed, one call at a time.
 	OnChange func(*Directory)
-	// OnGone is told the ids of targets that were dropped.
-	OnGone func(ids []string)
-	Log    *events.Log
-	Now    func() time.Time
+	// OnRemoved is told the ids of targets that were dropped.
+	OnRemoved func(ids []string)
+	Log       *events.Log
+	Now       func() time.Time
 }
 
 // Feed keeps one VM's copy. Lock order: Feed.notify before Feed.mu.
@@ -138,9 +138,9 @@
 // Directory returns what is known now.
 func (f *Feed) Directory() *Directory { return f.current.Load() }
 
-// Refused returns how many items of the store could not be read, or not whole; a key that
+// RefusedItems returns how many items of the store could not be read, or not whole; a key that
 // goes on for the same reason counts once.
-func (f *Feed) Refused() int64 { return f.refused.Load() }
+func (f *Feed) RefusedItems() int64 { return f.refused.Load() }
 
 // Age returns how long ago the copy was known to be current.
 func (f *Feed) Age() time.Duration {
@@ -152,10 +152,10 @@
 	return f.cfg.Now().Sub(f.cache.fresh)
 }
 
-// Proven bounds how long ago the copy was current: a change that the store acknowledged
+// ConfirmedAge bounds how long ago the copy was current: a change that the store acknowledged
 // longer ago is in the directory that is looked up after this. (Looked up before, it may be
 // of the time before a standstill.)
-func (f *Feed) Proven() time.Duration {
+func (f *Feed) ConfirmedAge() time.Duration {
 	at := f.proven.Load()
 	if at == nil || at.IsZero() {
 		return time.Hour
@@ -186,7 +186,7 @@
 	if f.Revision() == 0 {
 		return f.load(ctx)
 	}
-	if f.cfg.Peers.Reader() {
+	if f.cfg.Peers.IsStoreWatcher() {
 		return f.watch(ctx, watchWait, f.cfg.pollGap())
 	}
 	if f.Age() > f.staleAfter()+rand.N(staleJitter) {
@@ -207,13 +207,13 @@
 	if err != nil {
 		return f.cfg.retryPause()
 	}
-	f.Take(u)
+	f.Apply(u)
 	return f.cfg.pollGap()
 }
 
 // list reads all prefixes. The lowest revision is the one to watch from.
 func (f *Feed) list(ctx context.Context) (Update, error) {
-	u := Update{Snapshot: true, Reads: f.nextRead(), Asked: f.cfg.Now()}
+	u := Update{Snapshot: true, ReadCount: f.nextRead(), RequestedAt: f.cfg.Now()}
 	for _, prefix := range f.cfg.Prefixes {
 		items, revision, err := f.cfg.Store.List(ctx, prefix)
 		if err != nil {
@@ -234,7 +234,7 @@
 	defer cancel()
 	asked := f.cfg.Now()
 	u, err := f.cfg.Peers.Pull(ctx, after)
-	u.Asked = asked
+	u.RequestedAt = asked
 	return u, err
 }
 
@@ -243,11 +243,11 @@
 	began := f.cfg.Now()
 	from := f.Revision()
 	items, revision, err := f.cfg.Store.Watch(ctx, "", from, wait)
-	if errors.Is(err, fleet.ErrHistoryGone) || err == nil && revision.Era() > from.Era() {
+	if errors.Is(err, fleet.ErrCompacted) || err == nil && revision.Epoch() > from.Epoch() {
 		f.cfg.Log.StoreHistoryGone(from)
 		return f.relist(ctx)
 	}
-	if err == nil && revision.Era() < from.Era() {
+	if err == nil && revision.Epoch() < from.Epoch() {
 		err = errEraOver
 	}
 	f.note(err)
@@ -258,7 +258,7 @@
 	for i := range items {
 		items[i] = f.cfg.Trim(items[i])
 	}
-	f.takeAndPassOn(Update{From: from, To: revision, Items: items, Reads: f.nextRead(), Asked: began})
+	f.takeAndPassOn(Update{From: from, To: revision, Items: items, ReadCount: f.nextRead(), RequestedAt: began})
 	return max(gap-f.cfg.Now().Sub(began), 0)
 }
 
@@ -269,13 +269,13 @@
 // read for the others wait for it first.
 func (f *Feed) relist(ctx context.Context) time.Duration {
 	was := f.Revision()
-	if !f.cfg.Peers.Reader() {
+	if !f.cfg.Peers.IsStoreWatcher() {
 		if pause := f.awaitList(ctx, was); pause > 0 {
 			return pause
 		}
 	}
 	u, err := f.list(ctx)
-	if err == nil && u.To.Era() < was.Era() {
+	if err == nil && u.To.Epoch() < was.Epoch() {
 		err = errEraOver
 	}
 	f.note(err)
