--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -100,11 +100,11 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			c := newCache()
-			c.apply(start, Update{Snapshot: true, To: 10, Items: base, Reads: 1})
-			c.apply(start, Update{From: 10, To: 12, Items: []fleet.Item{put("c", "2", 12)}, Reads: 2})
-			c.apply(start, Update{Snapshot: true, To: row.listed, Items: base, Reads: 1})
+			c.apply(start, Update{Snapshot: true, To: 10, Items: base, ReadCount: 1})
+			c.apply(start, Update{From: 10, To: 12, Items: []fleet.Item{put("c", "2", 12)}, ReadCount: 2})
+			c.apply(start, Update{Snapshot: true, To: row.listed, Items: base, ReadCount: 1})
 			other := newCache()
-			other.apply(start, Update{Snapshot: true, To: row.asked, Items: base, Reads: 1})
+			other.apply(start, Update{Snapshot: true, To: row.asked, Items: base, ReadCount: 1})
 			other.apply(start, c.since(start, row.asked))
 			assert.Equal(t, other.revision, fleet.Revision(12))
 			assert.Equal(t, string(other.items["c"].Value), "2")
@@ -143,9 +143,9 @@
 	c.apply(start, Update{Snapshot: true, To: 10})
 	c.apply(start.Add(time.Second), Update{From: 8, To: 9})
 	assert.Equal(t, c.fresh, start, "an older revision tells nothing about now")
-	c.apply(start.Add(time.Second), Update{From: 10, To: 10, Age: 300 * time.Millisecond, Reads: 1})
+	c.apply(start.Add(time.Second), Update{From: 10, To: 10, Age: 300 * time.Millisecond, ReadCount: 1})
 	assert.Equal(t, c.fresh, start.Add(700*time.Millisecond))
-	c.apply(start.Add(2*time.Second), Update{From: 10, To: 10, Age: -1, Reads: 2})
+	c.apply(start.Add(2*time.Second), Update{From: 10, To: 10, Age: -1, ReadCount: 2})
 	assert.Equal(t, c.fresh, start.Add(700*time.Millisecond), "unknown age")
 }
 
@@ -177,8 +177,8 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			c := newCache()
-			c.apply(at(300), Update{Snapshot: true, To: 10, Reads: 4})
-			c.confirm(at(1000), State{To: row.to, Age: row.age, Reads: row.reads})
+			c.apply(at(300), Update{Snapshot: true, To: 10, ReadCount: 4})
+			c.confirm(at(1000), State{To: row.to, Age: row.age, ReadCount: row.reads})
 			assert.Equal(t, c.fresh, at(row.fresh))
 		})
 	}
@@ -273,7 +273,7 @@
 			x.step(t)
 			x.run(row.age - row.ticked)
 			x.now = x.now.Add(row.ticked)
-			x.feed.Take(Update{From: 5, To: 6, Items: []fleet.Item{removal("t1", 6)}, Reads: 9})
+			x.feed.Apply(Update{From: 5, To: 6, Items: []fleet.Item{removal("t1", 6)}, ReadCount: 9})
 			held := func() bool { return x.feed.Directory().Targets["x"] != nil }
 			if row.stays > 0 {
 				x.now = x.now.Add(row.stays - 1)
@@ -283,9 +283,9 @@
 				x.feed.Expire()
 			}
 			assert.Assert(t, !held())
-			assert.Assert(t, x.feed.Directory().Gone["x"])
-			x.feed.Take(Update{From: 6, To: 7, Items: []fleet.Item{put("t1", "x", 7)}, Reads: 10})
-			assert.Assert(t, held() && !x.feed.Directory().Gone["x"], "it is back")
+			assert.Assert(t, x.feed.Directory().Removed["x"])
+			x.feed.Apply(Update{From: 6, To: 7, Items: []fleet.Item{put("t1", "x", 7)}, ReadCount: 10})
+			assert.Assert(t, held() && !x.feed.Directory().Removed["x"], "it is back")
 		})
 	}
 }
@@ -334,15 +334,15 @@
 	pull   func(after fleet.Revision) (Update, error)
 }
 
-func (p *fakePeers) Reader() bool    { return p.reader }
-func (p *fakePeers) VMs() int        { return 7 }
-func (p *fakePeers) PassOn(u Update) { p.passed = append(p.passed, u) }
+func (p *fakePeers) IsStoreWatcher() bool { return p.reader }
+func (p *fakePeers) VMCount() int         { return 7 }
+func (p *fakePeers) Relay(u Update)       { p.passed = append(p.passed, u) }
 func (p *fakePeers) Pull(_ context.Context, after fleet.Revision) (Update, error) {
 	return p.pull(after)
 }
-func (p *fakePeers) AskReader(context.Context) (coord.VMID, Proof, error) {
+func (p *fakePeers) QueryStoreWatcher(context.Context) (coord.VMID, Confirmation, error) {
 	u, err := p.pull(0)
-	return "b", Proof{LastChange: u.To, Proven: u.Proven}, err
+	return "b", Confirmation{LastChange: u.To, ConfirmedAge: u.ConfirmedAge}, err
 }
 func (p *fakePeers) PullFrom(_ context.Context, _ coord.VMID, after fleet.Revision) (Update, error) {
 	return p.pull(after)
@@ -369,7 +369,7 @@
 	x.feed = New(Config{
 		Store: x.store, Peers: x.peers, Prefixes: []string{""}, Decode: decode,
 		Trim: func(i fleet.Item) fleet.Item { return i }, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second,
-		OnChange: func(*Directory) {}, OnGone: func(ids []string) { x.gone = append(x.gone, ids...) },
+		OnChange: func(*Directory) {}, OnRemoved: func(ids []string) { x.gone = append(x.gone, ids...) },
 		Log: events.Discard(), Now: func() time.Time { return x.now },
 	})
 	return x
@@ -416,10 +416,10 @@
 			pulls++
 			return Update{Snapshot: true, To: 5, Items: x.store.items}, nil
 		}
-		x.feed.Heard("b", State{Age: unknownAge})
+		x.feed.ObserveState("b", State{Age: unknownAge})
 		synctest.Wait()
 		assert.Equal(t, pulls, 0, "that one has nothing either")
-		x.feed.Heard("b", State{LastChange: 5, To: 5})
+		x.feed.ObserveState("b", State{LastChange: 5, To: 5})
 		synctest.Wait()
 		assert.Equal(t, pulls, 1)
 		assert.Equal(t, x.feed.Directory().Config.Version, uint64(1))
@@ -483,7 +483,7 @@
 	x := newFixture()
 	x.step(t)
 	x.peers.reader = true
-	x.store.err = fleet.ErrHistoryGone
+	x.store.err = fleet.ErrCompacted
 	x.step(t)
 	assert.Equal(t, x.store.lists, 2)
 }
@@ -507,7 +507,7 @@
 		assert.Equal(t, after, fleet.Revision(5))
 		return Update{From: 5, To: 8, Items: []fleet.Item{put("c", "2", 6), put("t2", "y", 8)}}, nil
 	}
-	x.feed.TakeFrom("vm", Update{From: 7, To: 8, Items: []fleet.Item{put("t2", "y", 8)}})
+	x.feed.ApplyFromPeer("vm", Update{From: 7, To: 8, Items: []fleet.Item{put("t2", "y", 8)}})
 	assert.Equal(t, x.feed.Directory().Config.Version, uint64(2))
 	assert.Equal(t, len(x.feed.Directory().Targets), 2)
 }
@@ -545,7 +545,7 @@
 				return Update{From: 5, To: 8, Items: []fleet.Item{put("c", "2", 7)}}, nil
 			}
 			x.now = x.now.Add(time.Second)
-			x.feed.Heard("vm", State{LastChange: row.lastChange, To: row.to, Age: 100 * time.Millisecond, Reads: 2})
+			x.feed.ObserveState("vm", State{LastChange: row.lastChange, To: row.to, Age: 100 * time.Millisecond, ReadCount: 2})
 			if row.pulled {
 				assert.Equal(t, <-pulled, fleet.Revision(5))
 				for x.feed.Revision() != row.revision {
@@ -562,7 +562,7 @@
 func TestUnreadableItemLeavesTheOldValue(t *testing.T) {
 	x := newFixture()
 	x.step(t)
-	x.feed.Take(Update{From: 5, To: 6, Items: []fleet.Item{put("?", "", 6)}})
+	x.feed.Apply(Update{From: 5, To: 6, Items: []fleet.Item{put("?", "", 6)}})
 	assert.Equal(t, x.feed.Directory().Config.Version, uint64(1))
 	assert.Equal(t, x.feed.Revision(), fleet.Revision(6))
 }
@@ -570,7 +570,7 @@
 func TestExpireTellsWhoIsGone(t *testing.T) {
 	x := newFixture()
 	x.step(t)
-	x.feed.Take(Update{From: 5, To: 6, Items: []fleet.Item{removal("t1", 6)}})
+	x.feed.Apply(Update{From: 5, To: 6, Items: []fleet.Item{removal("t1", 6)}})
 	x.feed.Expire()
 	assert.Equal(t, len(x.feed.Directory().Targets), 1)
 	x.now = x.now.Add(goneAfter)
--- a/internal/feed/incarnation_test.go
+++ b/internal/feed/incarnation_test.go
@@ -72,9 +72,9 @@
 			assert.Equal(t, len(got.Targets), 1)
 			assert.Assert(t, got.Targets[row.want] != nil, "%v", got.Targets)
 			assert.Equal(t, got.Targets[row.want].State, row.state)
-			assert.Equal(t, len(got.Gone), len(row.gone))
+			assert.Equal(t, len(got.Removed), len(row.gone))
 			for _, id := range row.gone {
-				assert.Assert(t, got.Gone[id], id)
+				assert.Assert(t, got.Removed[id], id)
 			}
 			assert.DeepEqual(t, told, row.gone)
 		})
@@ -96,7 +96,7 @@
 		assert.Equal(t, d.publish(2 + i).Targets["t#5"] != nil, now.Sub(start) < goneAfter)
 	}
 	assert.Equal(t, said, 1)
-	assert.Assert(t, d.publish(30).Gone["t#5"])
+	assert.Assert(t, d.publish(30).Removed["t#5"])
 	assert.NilError(t, d.take(start.Add(3*time.Second), put("t", "5", 40)))
 	assert.Assert(t, d.publish(40).Targets["t#5"] != nil, "its own entry brings it back")
 	assert.Assert(t, d.take(start.Add(4*time.Second), put("t", "?", 41)) != nil, "a new change is told again")
@@ -107,15 +107,15 @@
 func TestReplacedTargetIsTold(t *testing.T) {
 	x := newFixture()
 	x.feed.dir = newDirectory(decodeStarts, 2*time.Second)
-	x.feed.Take(Update{Snapshot: true, To: 1, Items: []fleet.Item{put("t", "5", 1)}})
+	x.feed.Apply(Update{Snapshot: true, To: 1, Items: []fleet.Item{put("t", "5", 1)}})
 	var gone []string
-	x.feed.cfg.OnGone = func(ids []string) { gone = append(gone, ids...) }
-	x.feed.Take(Update{From: 1, To: 2, Items: []fleet.Item{put("t", "7", 2)}})
+	x.feed.cfg.OnRemoved = func(ids []string) { gone = append(gone, ids...) }
+	x.feed.Apply(Update{From: 1, To: 2, Items: []fleet.Item{put("t", "7", 2)}})
 	assert.DeepEqual(t, gone, []string{"t#5"})
-	assert.Assert(t, x.feed.Directory().Gone["t#5"])
+	assert.Assert(t, x.feed.Directory().Removed["t#5"])
 	assert.Assert(t, x.feed.Directory().Targets["t#7"] != nil)
-	x.feed.Take(Update{From: 2, To: 3, Items: []fleet.Item{put("t", "?", 3)}})
-	assert.Equal(t, x.feed.Refused(), int64(1))
+	x.feed.Apply(Update{From: 2, To: 3, Items: []fleet.Item{put("t", "?", 3)}})
+	assert.Equal(t, x.feed.RefusedItems(), int64(1))
 }
 
 // TestConfigurationThatCannotBeReadChangesNothing, and a part of one keeps nothing else back.
@@ -135,7 +135,7 @@
 	fails = nil
 	next = &fleet.Config{
 		Version: 2, Services: map[string]*fleet.Service{"new": {Name: "new"}}, Findings: []error{errors.New("services[1]")},
-		Routes: []fleet.Route{{Split: []fleet.Share{{Service: "old", Weight: 1}, {Service: "new", Weight: 1}}}},
+		Routes: []fleet.Route{{Split: []fleet.WeightedService{{Service: "old", Weight: 1}, {Service: "new", Weight: 1}}}},
 	}
 	assert.ErrorContains(t, d.take(start, put("c", "", 3)), "services[1]")
 	c := d.publish(3).Config
--- a/internal/feed/leaving.go
+++ b/internal/feed/leaving.go
@@ -33,9 +33,9 @@
 	maps.DeleteFunc(l, func(_ string, heard time.Time) bool { return now.Sub(heard) > rememberGone })
 }
 
-// TargetLeaves takes a target's own word that it leaves, heard here or by another VM. It reports
+// MarkLeaving takes a target's own word that it leaves, heard here or by another VM. It reports
 // whether that is news: nobody has said so before, the store included.
-func (f *Feed) TargetLeaves(id string) (news bool) {
+func (f *Feed) MarkLeaving(id string) (news bool) {
 	if f.saidLeaving(id) {
 		return false
 	}
--- a/internal/feed/leaving_test.go
+++ b/internal/feed/leaving_test.go
@@ -15,16 +15,16 @@
 	state := func(x *fixture, id string) fleet.TargetState { return x.feed.Directory().Targets[id].State }
 	x := newFixture()
 	x.feed.dir = newDirectory(decodeStarts, 2*time.Second)
-	x.feed.Take(Update{Snapshot: true, To: 1, Items: []fleet.Item{put("t", "5", 1), put("u", "5", 1)}})
-	assert.Assert(t, x.feed.TargetLeaves("t#5"))
-	assert.Assert(t, !x.feed.TargetLeaves("t#5"), "no news")
+	x.feed.Apply(Update{Snapshot: true, To: 1, Items: []fleet.Item{put("t", "5", 1), put("u", "5", 1)}})
+	assert.Assert(t, x.feed.MarkLeaving("t#5"))
+	assert.Assert(t, !x.feed.MarkLeaving("t#5"), "no news")
 	assert.Equal(t, state(x, "t#5"), fleet.TargetDraining)
 	assert.Equal(t, state(x, "u#5"), fleet.TargetReady)
-	x.feed.Take(Update{From: 1, To: 2, Items: []fleet.Item{put("t", "5", 2)}})
+	x.feed.Apply(Update{From: 1, To: 2, Items: []fleet.Item{put("t", "5", 2)}})
 	assert.Equal(t, state(x, "t#5"), fleet.TargetDraining)
-	x.feed.Take(Update{Snapshot: true, To: 3, Items: []fleet.Item{put("t", "5", 3), put("u", "5", 1)}})
+	x.feed.Apply(Update{Snapshot: true, To: 3, Items: []fleet.Item{put("t", "5", 3), put("u", "5", 1)}})
 	assert.Equal(t, state(x, "t#5"), fleet.TargetDraining)
-	x.feed.Take(Update{From: 3, To: 4, Items: []fleet.Item{put("t", "7", 4)}})
+	x.feed.Apply(Update{From: 3, To: 4, Items: []fleet.Item{put("t", "7", 4)}})
 	assert.Equal(t, state(x, "t#7"), fleet.TargetReady)
 }
 
@@ -32,9 +32,9 @@
 func TestEntryThatAgreedTakesBackATargetsOwnWord(t *testing.T) {
 	x := newFixture()
 	x.feed.dir = newDirectory(decodeStarts, 2*time.Second)
-	x.feed.Take(Update{Snapshot: true, To: 1, Items: []fleet.Item{put("t", "5!", 1)}})
-	assert.Assert(t, !x.feed.TargetLeaves("t#5"), "no news: all VMs have it from the store")
-	x.feed.Take(Update{From: 1, To: 2, Items: []fleet.Item{put("t", "5", 2)}})
+	x.feed.Apply(Update{Snapshot: true, To: 1, Items: []fleet.Item{put("t", "5!", 1)}})
+	assert.Assert(t, !x.feed.MarkLeaving("t#5"), "no news: all VMs have it from the store")
+	x.feed.Apply(Update{From: 1, To: 2, Items: []fleet.Item{put("t", "5", 2)}})
 	assert.Equal(t, x.feed.Directory().Targets["t#5"].State, fleet.TargetDraining)
 }
 
@@ -42,9 +42,9 @@
 func TestOwnWordBeforeTheEntry(t *testing.T) {
 	x := newFixture()
 	x.feed.dir = newDirectory(decodeStarts, 2*time.Second)
-	assert.Assert(t, x.feed.TargetLeaves("t#5"))
-	assert.Assert(t, x.feed.Directory().Gone["t#5"], "a verdict of that VM may name it")
-	x.feed.Take(Update{Snapshot: true, To: 1, Items: []fleet.Item{put("t", "5", 1)}})
+	assert.Assert(t, x.feed.MarkLeaving("t#5"))
+	assert.Assert(t, x.feed.Directory().Removed["t#5"], "a verdict of that VM may name it")
+	x.feed.Apply(Update{Snapshot: true, To: 1, Items: []fleet.Item{put("t", "5", 1)}})
 	assert.Equal(t, x.feed.Directory().Targets["t#5"].State, fleet.TargetDraining)
 }
 
--- a/internal/feed/peers.go
+++ b/internal/feed/peers.go
@@ -10,16 +10,16 @@
 
 // Peers reaches the other VMs.
 type Peers interface {
-	// Reader reports whether this VM is to read the store for the others.
-	Reader() bool
-	// VMs is how many VMs the fleet has, this one included.
-	VMs() int
-	// PassOn sends an update to all other VMs, without waiting.
-	PassOn(u Update)
+	// IsStoreWatcher reports whether this VM is to read the store for the others.
+	IsStoreWatcher() bool
+	// VMCount is how many VMs the fleet has, this one included.
+	VMCount() int
+	// Relay sends an update to all other VMs, without waiting.
+	Relay(u Update)
 	// Pull asks any other VM for what changed after a revision.
 	Pull(ctx context.Context, after fleet.Revision) (Update, error)
-	// AskReader asks a VM that reads the store for the others how current its copy is.
-	AskReader(ctx context.Context) (vm coord.VMID, p Proof, err error)
+	// QueryStoreWatcher asks a VM that reads the store for the others how current its copy is.
+	QueryStoreWatcher(ctx context.Context) (vm coord.VMID, p Confirmation, err error)
 	// PullFrom asks one.
 	PullFrom(ctx context.Context, vm coord.VMID, after fleet.Revision) (Update, error)
 	// PullConfig asks one for the item of the configuration that is in force there.
@@ -36,13 +36,13 @@
 	before := f.Revision()
 	news, _ := f.take(u)
 	changed = len(news.Items)
-	if before != 0 && news.To.Era() > before.Era() {
+	if before != 0 && news.To.Epoch() > before.Epoch() {
 		news.Items = nil
-		f.cfg.Peers.PassOn(news)
+		f.cfg.Peers.Relay(news)
 		return changed
 	}
 	if changed > 0 {
-		f.cfg.Peers.PassOn(news)
+		f.cfg.Peers.Relay(news)
 	}
 	return changed
 }
@@ -54,7 +54,7 @@
 		f.cfg.Log.PeerCallFailed("feed_pull", "any", err)
 		return
 	}
-	f.Take(u)
+	f.Apply(u)
 }
 
 // State is what a VM tells others of its copy.
@@ -64,8 +64,8 @@
 	LastChange, To fleet.Revision
 	// Age is the time since it was known to be current, by the read with the count
 	// Reads; negative: unknown.
-	Age   time.Duration
-	Reads uint64
+	Age       time.Duration
+	ReadCount uint64
 	// ConfigVersion is that of the configuration in force; 0: none.
 	ConfigVersion uint64
 }
@@ -74,7 +74,7 @@
 func (f *Feed) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := State{LastChange: f.cache.lastChange, To: f.cache.revision, Reads: f.cache.read.count, Age: unknownAge}
+	s := State{LastChange: f.cache.lastChange, To: f.cache.revision, ReadCount: f.cache.read.count, Age: unknownAge}
 	if !f.cache.fresh.IsZero() {
 		s.Age = f.cfg.Now().Sub(f.cache.fresh)
 	}
@@ -84,19 +84,19 @@
 	return s
 }
 
-// Proof is what a VM answers that is asked how current its copy is.
-type Proof struct {
+// Confirmation is what a VM answers that is asked how current its copy is.
+type Confirmation struct {
 	// LastChange is the revision of its newest change.
 	LastChange fleet.Revision
-	// Proven bounds the time since its copy was current; negative: unknown.
-	Proven time.Duration
+	// ConfirmedAge bounds the time since its copy was current; negative: unknown.
+	ConfirmedAge time.Duration
 }
 
-// Proof answers another VM's AskReader.
-func (f *Feed) Proof() Proof {
+// Confirmation answers another VM's AskReader.
+func (f *Feed) Confirmation() Confirmation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Proof{LastChange: f.cache.lastChange, Proven: f.cache.provenAge(f.cfg.Now())}
+	return Confirmation{LastChange: f.cache.lastChange, ConfirmedAge: f.cache.provenAge(f.cfg.Now())}
 }
 
 // nextRead is the count of a read of the store that this VM makes now.
@@ -106,11 +106,11 @@
 	return f.cache.read.count + 1
 }
 
-// Heard takes another VM's State, and asks it for what is missing here: for everything, if
+// ObserveState takes another VM's State, and asks it for what is missing here: for everything, if
 // nothing could be read yet. On a played day all 195 VMs started while the store was down;
 // it was back at 37.5 s, and they went on refusing requests until their own next reads, up to
 // 38.3 s.
-func (f *Feed) Heard(vm coord.VMID, other State) {
+func (f *Feed) ObserveState(vm coord.VMID, other State) {
 	f.mu.Lock()
 	now := f.cfg.Now()
 	f.noteRunning(now)
@@ -137,13 +137,13 @@
 	ask()
 }
 
-// TakeFrom takes an update that another VM passed on; what is missing before it
+// ApplyFromPeer takes an update that another VM passed on; what is missing before it
 // is asked of that VM.
-func (f *Feed) TakeFrom(vm coord.VMID, u Update) {
-	if !f.Take(u) {
+func (f *Feed) ApplyFromPeer(vm coord.VMID, u Update) {
+	if !f.Apply(u) {
 		return
 	}
-	if u.To.Era() > f.Revision().Era() && f.Revision() != 0 {
+	if u.To.Epoch() > f.Revision().Epoch() && f.Revision() != 0 {
 		go f.joinEra(vm, u.To)
 		return
 	}
@@ -159,12 +159,12 @@
 		f.cfg.Log.FeedGap(string(vm), f.Revision(), err)
 		return
 	}
-	missing.Asked = asked
-	f.Take(missing)
+	missing.RequestedAt = asked
+	f.Apply(missing)
 }
 
-// Since answers another VM's Pull.
-func (f *Feed) Since(after fleet.Revision) (Update, bool) {
+// ChangesSince answers another VM's Pull.
+func (f *Feed) ChangesSince(after fleet.Revision) (Update, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.cache.loaded() {
--- a/internal/feed/proof.go
+++ b/internal/feed/proof.go
@@ -23,9 +23,9 @@
 // has read everything anew, as after a start, answers a question for changes with all that it
 // holds, which 300 VMs would ask of it again and again.
 const (
-	// KeysShare of the bound is the age of a copy up to which keys are judged by it. The
+	// KeyAgeShare of the bound is the age of a copy up to which keys are judged by it. The
 	// rest is for clocks that differ by some ms a minute, and timers.
-	KeysShare = 0.98
+	KeyAgeShare = 0.98
 	// askShare of the bound is the age from which a VM asks a reader.
 	askShare = 0.4
 	// readShare of it is the age from which it reads the store itself: readers are silent or
@@ -37,9 +37,9 @@
 	proofAgain = 250 * time.Millisecond
 )
 
-// Prove keeps the copy proven until the context ends. It does nothing where keys are not
+// RunConfirmation keeps the copy proven until the context ends. It does nothing where keys are not
 // asked for or not bound.
-func (f *Feed) Prove(ctx context.Context) {
+func (f *Feed) RunConfirmation(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := f.proveOnce(ctx)
 		select {
@@ -51,10 +51,10 @@
 
 func (f *Feed) proveOnce(ctx context.Context) (pause time.Duration) {
 	d := f.Directory()
-	if f.cfg.ProveWithin == 0 || d.Config == nil || d.Config.Teams == nil || !f.olderThan(askShare) {
+	if f.cfg.ConfirmWithin == 0 || d.Config == nil || d.Config.Teams == nil || !f.olderThan(askShare) {
 		return proofCheck
 	}
-	if f.cfg.Peers.Reader() { // its own reads do not prove enough: the store turns it away
+	if f.cfg.Peers.IsStoreWatcher() { // its own reads do not prove enough: the store turns it away
 		f.catchUpFromPeer(ctx, f.Revision())
 		return proofAgain
 	}
@@ -67,14 +67,14 @@
 
 // olderThan reports whether the copy may be older than a share of the bound.
 func (f *Feed) olderThan(share float64) bool {
-	return f.Proven() > time.Duration(share*float64(f.cfg.ProveWithin))
+	return f.ConfirmedAge() > time.Duration(share*float64(f.cfg.ConfirmWithin))
 }
 
 func (f *Feed) askReader(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	asked := f.cfg.Now()
-	vm, p, err := f.cfg.Peers.AskReader(ctx)
+	vm, p, err := f.cfg.Peers.QueryStoreWatcher(ctx)
 	if err != nil {
 		f.cfg.Log.PeerCallFailed("feed_proof", "reader", err)
 		return
@@ -85,7 +85,7 @@
 }
 
 // provedBy takes a reader's answer. It reports whether this copy lacks changes.
-func (f *Feed) provedBy(asked time.Time, p Proof) (behind bool) {
+func (f *Feed) provedBy(asked time.Time, p Confirmation) (behind bool) {
 	f.notify.Lock() // what is proven must be published
 	defer f.notify.Unlock()
 	f.mu.Lock()
--- a/internal/feed/proof_test.go
+++ b/internal/feed/proof_test.go
@@ -39,12 +39,12 @@
 
 // serves reports what a VM would do with a request with a key, as internal/gateway does.
 func serves(f *Feed, key string) (runs, judges bool) {
-	proven := f.Proven()
+	proven := f.ConfirmedAge()
 	d := f.Directory()
-	if d.Config == nil || proven > time.Duration(KeysShare*float64(revokeWithin)) {
+	if d.Config == nil || proven > time.Duration(KeyAgeShare*float64(revokeWithin)) {
 		return false, false
 	}
-	team, _ := d.Config.Teams.Of(fleet.DigestOf(key))
+	team, _ := d.Config.Teams.Lookup(fleet.DigestOf(key))
 	return team != nil, true
 }
 
@@ -55,7 +55,7 @@
 	f.put("c", `{"Version":1,"Keys":["stays","goes"]}`)
 	for n := range f.feeds {
 		cfg := f.feeds[n].cfg
-		cfg.Decode, cfg.ProveWithin = decodeKeyed, revokeWithin
+		cfg.Decode, cfg.ConfirmWithin = decodeKeyed, revokeWithin
 		f.feeds[n] = New(cfg)
 	}
 	return f
@@ -64,7 +64,7 @@
 // prove lets all VMs prove their copies until the context ends.
 func (f *vmFleet) prove(ctx context.Context) {
 	for _, feed := range f.feeds {
-		go feed.Prove(ctx)
+		go feed.RunConfirmation(ctx)
 	}
 }
 
@@ -138,7 +138,7 @@
 								wrong = fmt.Sprintf("VM %d runs the key %v after", n, time.Since(gone))
 							}
 							if stays, _ := serves(feed, "stays"); !stays && !row.blind {
-								wrong = fmt.Sprintf("VM %d refuses %v after; proven %v before", n, time.Since(gone), feed.Proven())
+								wrong = fmt.Sprintf("VM %d refuses %v after; proven %v before", n, time.Since(gone), feed.ConfirmedAge())
 							}
 						}
 					}
@@ -200,18 +200,18 @@
 
 // TestProof: what proves a copy, and how old it may be then.
 func TestProof(t *testing.T) {
-	whole := Update{Snapshot: true, To: 10, Asked: start}
+	whole := Update{Snapshot: true, To: 10, RequestedAt: start}
 	for _, row := range []struct {
 		name string
 		u    Update
 		want time.Duration
 	}{
-		{"a heartbeat's word", Update{From: 10, To: 11, Age: 0, Proven: 0}, 3 * time.Second},
-		{"an answer, however late", Update{From: 10, To: 11, Proven: time.Second, Asked: start.Add(time.Second + 500*time.Millisecond)}, 2500 * time.Millisecond},
-		{"an answer that proves less", Update{From: 10, To: 11, Proven: 9 * time.Second, Asked: start.Add(2 * time.Second)}, 3 * time.Second},
-		{"an answer of a VM without a proof", Update{From: 10, To: 11, Proven: unknownAge, Asked: start.Add(2 * time.Second)}, 3 * time.Second},
-		{"an answer after a gap", Update{From: 12, To: 13, Asked: start.Add(2 * time.Second)}, 3 * time.Second},
-		{"an answer of a VM that knows no more", Update{From: 8, To: 9, Asked: start.Add(2 * time.Second)}, time.Second},
+		{"a heartbeat's word", Update{From: 10, To: 11, Age: 0, ConfirmedAge: 0}, 3 * time.Second},
+		{"an answer, however late", Update{From: 10, To: 11, ConfirmedAge: time.Second, RequestedAt: start.Add(time.Second + 500*time.Millisecond)}, 2500 * time.Millisecond},
+		{"an answer that proves less", Update{From: 10, To: 11, ConfirmedAge: 9 * time.Second, RequestedAt: start.Add(2 * time.Second)}, 3 * time.Second},
+		{"an answer of a VM without a proof", Update{From: 10, To: 11, ConfirmedAge: unknownAge, RequestedAt: start.Add(2 * time.Second)}, 3 * time.Second},
+		{"an answer after a gap", Update{From: 12, To: 13, RequestedAt: start.Add(2 * time.Second)}, 3 * time.Second},
+		{"an answer of a VM that knows no more", Update{From: 8, To: 9, RequestedAt: start.Add(2 * time.Second)}, time.Second},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			c := newCache()
@@ -228,37 +228,37 @@
 func TestProofByAReader(t *testing.T) {
 	for _, row := range []struct {
 		name   string
-		p      Proof
+		p      Confirmation
 		want   time.Duration
 		behind bool
 	}{
-		{"nothing is missing", Proof{LastChange: 3, Proven: 400 * time.Millisecond}, 1400 * time.Millisecond, false},
-		{"a change is missing", Proof{LastChange: 11, Proven: 0}, 3 * time.Second, true},
-		{"the reader has no proof", Proof{LastChange: 3, Proven: unknownAge}, 3 * time.Second, false},
-		{"the reader's proof is older", Proof{LastChange: 3, Proven: 8 * time.Second}, 3 * time.Second, false},
+		{"nothing is missing", Confirmation{LastChange: 3, ConfirmedAge: 400 * time.Millisecond}, 1400 * time.Millisecond, false},
+		{"a change is missing", Confirmation{LastChange: 11, ConfirmedAge: 0}, 3 * time.Second, true},
+		{"the reader has no proof", Confirmation{LastChange: 3, ConfirmedAge: unknownAge}, 3 * time.Second, false},
+		{"the reader's proof is older", Confirmation{LastChange: 3, ConfirmedAge: 8 * time.Second}, 3 * time.Second, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			c := newCache()
-			c.apply(start, Update{Snapshot: true, To: 10, Asked: start, Items: []fleet.Item{put("a", "1", 3)}})
+			c.apply(start, Update{Snapshot: true, To: 10, RequestedAt: start, Items: []fleet.Item{put("a", "1", 3)}})
 			assert.Equal(t, c.proveBy(start.Add(2*time.Second), row.p), row.behind)
 			assert.Equal(t, c.provenAge(start.Add(3*time.Second)), row.want)
 		})
 	}
-	assert.Assert(t, newCache().proveBy(start, Proof{}), "nothing was read yet")
+	assert.Assert(t, newCache().proveBy(start, Confirmation{}), "nothing was read yet")
 }
 
 // TestFrozenVMJudgesNoKeys: a VM that stood still knows so by its clock, before it has heard
 // or read anything.
 func TestFrozenVMJudgesNoKeys(t *testing.T) {
 	x := newFixture()
-	x.feed.cfg.ProveWithin = revokeWithin
+	x.feed.cfg.ConfirmWithin = revokeWithin
 	x.step(t)
 	x.now = x.now.Add(6 * time.Second)
-	assert.Assert(t, x.feed.Proven() > revokeWithin)
-	x.feed.Heard("b", State{LastChange: 5, To: 9, Reads: 9})
+	assert.Assert(t, x.feed.ConfirmedAge() > revokeWithin)
+	x.feed.ObserveState("b", State{LastChange: 5, To: 9, ReadCount: 9})
 	assert.Equal(t, x.feed.Age(), time.Duration(0), "what it is told has no bound")
-	assert.Assert(t, x.feed.Proven() > revokeWithin)
+	assert.Assert(t, x.feed.ConfirmedAge() > revokeWithin)
 	x.peers.pull = func(fleet.Revision) (Update, error) { return Update{}, errors.New("nobody") }
 	x.step(t)
-	assert.Assert(t, x.feed.Proven() > revokeWithin, "nothing was read: its copy seems young")
+	assert.Assert(t, x.feed.ConfirmedAge() > revokeWithin, "nothing was read: its copy seems young")
 }
--- a/internal/feed/restored.go
+++ b/internal/feed/restored.go
@@ -12,7 +12,7 @@
 // beginEra makes room for the first snapshot of an era. What the copy holds is of a history that is over:
 // its revisions do not say what is newer, and its reads prove nothing of the new one.
 func (c *cache) beginEra(to fleet.Revision) {
-	c.lastChange = to.EraStart()
+	c.lastChange = to.EpochStart()
 	c.proven = time.Time{}
 	c.restored = nil
 }
@@ -97,7 +97,7 @@
 	}
 	if f.listFrom != was {
 		f.listFrom = was
-		f.listAt = now.Add(rand.N(min(time.Duration(f.cfg.Peers.VMs())*joinGap, maxListWait)))
+		f.listAt = now.Add(rand.N(min(time.Duration(f.cfg.Peers.VMCount())*joinGap, maxListWait)))
 	}
 	return max(f.listAt.Sub(now), 0)
 }
@@ -110,8 +110,8 @@
 
 // joinEra asks a VM for the first snapshot of an era, unless another one has brought it meanwhile.
 func (f *Feed) joinEra(vm coord.VMID, to fleet.Revision) {
-	time.Sleep(rand.N(time.Duration(f.cfg.Peers.VMs()) * joinGap))
-	if f.Revision().Era() < to.Era() {
+	time.Sleep(rand.N(time.Duration(f.cfg.Peers.VMCount()) * joinGap))
+	if f.Revision().Epoch() < to.Epoch() {
 		f.pullFrom(vm)
 	}
 }
@@ -137,16 +137,16 @@
 	f.mu.Lock()
 	if err := f.dir.take(now, item); err != nil {
 		f.refused.Add(1)
-		f.cfg.Log.ItemRefused(item.Key, item.Revision, err)
+		f.cfg.Log.StoreItemRejected(item.Key, item.Revision, err)
 	}
 	d, gone := f.settle(now, true)
 	f.mu.Unlock()
 	f.publish(d, gone)
 }
 
-// ConfigInForce returns the item of the configuration in force, for VMs that have not heard of it; ok is
+// ActiveConfig returns the item of the configuration in force, for VMs that have not heard of it; ok is
 // false if there is none.
-func (f *Feed) ConfigInForce() (item fleet.Item, ok bool) {
+func (f *Feed) ActiveConfig() (item fleet.Item, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dir.configItem, f.dir.config != nil
--- a/internal/feed/restored_test.go
+++ b/internal/feed/restored_test.go
@@ -92,11 +92,11 @@
 		{"the other one is of the older", in(2, 90), in(1, 100), false},
 	} {
 		c := newCache()
-		c.apply(start, Update{Snapshot: true, To: row.own, Asked: start, Items: []fleet.Item{put("a", "1", row.own)}})
+		c.apply(start, Update{Snapshot: true, To: row.own, RequestedAt: start, Items: []fleet.Item{put("a", "1", row.own)}})
 		now := start.Add(3 * time.Second)
-		assert.Equal(t, c.proveBy(now, Proof{LastChange: row.that}), row.behind, row.name)
+		assert.Equal(t, c.proveBy(now, Confirmation{LastChange: row.that}), row.behind, row.name)
 		assert.Equal(t, c.provenAge(now), 3*time.Second, row.name)
-		assert.Equal(t, c.confirm(now, State{LastChange: row.that, To: row.that, Reads: 9}), row.behind, row.name)
+		assert.Equal(t, c.confirm(now, State{LastChange: row.that, To: row.that, ReadCount: 9}), row.behind, row.name)
 		assert.Equal(t, c.fresh, start, row.name)
 		assert.Equal(t, c.revision, row.own, row.name)
 	}
@@ -105,8 +105,8 @@
 // TestProofOfARestoredStore: only a read of its era proves the copy.
 func TestProofOfARestoredStore(t *testing.T) {
 	c := newCache()
-	c.apply(start, Update{Snapshot: true, To: in(1, 100), Asked: start.Add(time.Minute)})
-	c.apply(start, Update{Snapshot: true, To: in(2, 80), Asked: start.Add(time.Second)})
+	c.apply(start, Update{Snapshot: true, To: in(1, 100), RequestedAt: start.Add(time.Minute)})
+	c.apply(start, Update{Snapshot: true, To: in(2, 80), RequestedAt: start.Add(time.Second)})
 	assert.Equal(t, c.proven, start.Add(time.Second))
 }
 
@@ -116,10 +116,10 @@
 	x := newFixture()
 	x.feed.dir = newDirectory(readyOr, 2*time.Second)
 	entry := func(key, value string, number uint64) fleet.Item { return put(key, value, in(1, number)) }
-	x.feed.Take(Update{Snapshot: true, To: in(1, 50), Items: []fleet.Item{
+	x.feed.Apply(Update{Snapshot: true, To: in(1, 50), Items: []fleet.Item{
 		entry("c", "1", 1), entry("t1", "stays", 2), entry("t2", "leaves", 3), entry("t3", "goes", 4), entry("t4", "is", 5),
 	}})
-	x.feed.Take(Update{From: in(1, 50), To: in(1, 60), Items: []fleet.Item{
+	x.feed.Apply(Update{From: in(1, 50), To: in(1, 60), Items: []fleet.Item{
 		entry("c", "2", 51), entry("t2", "!leaves", 52), removal("t3", in(1, 53)), entry("t5", "new", 54),
 	}})
 	x.run(goneAfter + time.Second)
@@ -132,20 +132,20 @@
 	}
 	assert.DeepEqual(t, state(), map[string]string{"stays": "ready", "leaves": "draining", "is": "ready", "new": "ready"})
 
-	x.feed.Take(Update{Snapshot: true, To: in(2, 52), Items: []fleet.Item{
+	x.feed.Apply(Update{Snapshot: true, To: in(2, 52), Items: []fleet.Item{
 		put("c", "1", in(2, 1)), put("t1", "stays", in(2, 2)), put("t2", "leaves", in(2, 3)), put("t3", "goes", in(2, 4)), put("t4", "is", in(2, 5)),
 	}})
 	assert.Equal(t, x.feed.Directory().Config.Version, uint64(2))
 	assert.DeepEqual(t, state(), map[string]string{"stays": "ready", "leaves": "draining", "is": "ready", "new": "ready"})
-	assert.Assert(t, x.feed.Directory().Gone["goes"])
+	assert.Assert(t, x.feed.Directory().Removed["goes"])
 
-	x.feed.Take(Update{From: in(2, 52), To: in(2, 55), Items: []fleet.Item{
+	x.feed.Apply(Update{From: in(2, 52), To: in(2, 55), Items: []fleet.Item{
 		put("t1", "stays", in(2, 53)), put("t2", "leaves", in(2, 54)), removal("t4", in(2, 55)),
 	}})
 	assert.DeepEqual(t, state(), map[string]string{"stays": "ready", "leaves": "draining", "is": "ready", "new": "ready"})
 	x.run(lapseGrace)
 	assert.DeepEqual(t, state(), map[string]string{"stays": "ready", "leaves": "draining"})
-	x.feed.Take(Update{From: in(2, 55), To: in(2, 57), Items: []fleet.Item{put("c", "3", in(2, 56)), put("t5", "new", in(2, 57))}})
+	x.feed.Apply(Update{From: in(2, 55), To: in(2, 57), Items: []fleet.Item{put("c", "3", in(2, 56)), put("t5", "new", in(2, 57))}})
 	assert.Equal(t, x.feed.Directory().Config.Version, uint64(3))
 	assert.DeepEqual(t, state(), map[string]string{"stays": "ready", "leaves": "draining", "new": "ready"})
 }
@@ -155,13 +155,13 @@
 func TestTargetThatWasThoughtGoneIsAlive(t *testing.T) {
 	for name, writes := range map[string]bool{"it writes": true, "it stays listed": false} {
 		x := newFixture()
-		x.feed.Take(Update{Snapshot: true, To: in(1, 5), Items: []fleet.Item{put("t1", "x", in(1, 5))}})
-		x.feed.Take(Update{From: in(1, 5), To: in(1, 6), Items: []fleet.Item{removal("t1", in(1, 6))}})
+		x.feed.Apply(Update{Snapshot: true, To: in(1, 5), Items: []fleet.Item{put("t1", "x", in(1, 5))}})
+		x.feed.Apply(Update{From: in(1, 5), To: in(1, 6), Items: []fleet.Item{removal("t1", in(1, 6))}})
 		x.run(goneAfter + time.Second)
-		x.feed.Take(Update{Snapshot: true, To: in(2, 5), Items: []fleet.Item{put("t1", "x", in(2, 5))}})
+		x.feed.Apply(Update{Snapshot: true, To: in(2, 5), Items: []fleet.Item{put("t1", "x", in(2, 5))}})
 		assert.Assert(t, x.feed.Directory().Targets["x"] == nil, name)
 		if writes {
-			x.feed.Take(Update{From: in(2, 5), To: in(2, 6), Items: []fleet.Item{put("t1", "x", in(2, 6))}})
+			x.feed.Apply(Update{From: in(2, 5), To: in(2, 6), Items: []fleet.Item{put("t1", "x", in(2, 6))}})
 		} else {
 			x.run(doubtTime)
 		}
@@ -172,12 +172,12 @@
 // TestDeadTargetOfARestoredStore is not used again: its entry ends with its lease.
 func TestDeadTargetOfARestoredStore(t *testing.T) {
 	x := newFixture()
-	x.feed.Take(Update{Snapshot: true, To: in(1, 5), Items: []fleet.Item{put("t1", "x", in(1, 5))}})
-	x.feed.Take(Update{From: in(1, 5), To: in(1, 6), Items: []fleet.Item{removal("t1", in(1, 6))}})
+	x.feed.Apply(Update{Snapshot: true, To: in(1, 5), Items: []fleet.Item{put("t1", "x", in(1, 5))}})
+	x.feed.Apply(Update{From: in(1, 5), To: in(1, 6), Items: []fleet.Item{removal("t1", in(1, 6))}})
 	x.run(goneAfter + time.Second)
-	x.feed.Take(Update{Snapshot: true, To: in(2, 5), Items: []fleet.Item{put("t1", "x", in(2, 5))}})
+	x.feed.Apply(Update{Snapshot: true, To: in(2, 5), Items: []fleet.Item{put("t1", "x", in(2, 5))}})
 	x.run(doubtTime / 2)
-	x.feed.Take(Update{From: in(2, 5), To: in(2, 6), Items: []fleet.Item{removal("t1", in(2, 6))}})
+	x.feed.Apply(Update{From: in(2, 5), To: in(2, 6), Items: []fleet.Item{removal("t1", in(2, 6))}})
 	x.run(doubtTime)
 	assert.Assert(t, x.feed.Directory().Targets["x"] == nil)
 }
@@ -187,17 +187,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := newFixture()
 		defer x.feed.cfg.Log.Close()
-		x.feed.Take(Update{Snapshot: true, To: in(2, 5), Items: []fleet.Item{put("c", "1", in(2, 4))}})
+		x.feed.Apply(Update{Snapshot: true, To: in(2, 5), Items: []fleet.Item{put("c", "1", in(2, 4))}})
 		x.peers.config = put("c", "4", in(1, 90))
-		x.feed.Heard("b", State{LastChange: in(2, 4), To: in(2, 5), ConfigVersion: 4})
+		x.feed.ObserveState("b", State{LastChange: in(2, 4), To: in(2, 5), ConfigVersion: 4})
 		synctest.Wait()
 		assert.Equal(t, x.feed.Directory().Config.Version, uint64(4))
 		assert.Equal(t, x.feed.Revision(), in(2, 5))
-		item, ok := x.feed.ConfigInForce()
+		item, ok := x.feed.ActiveConfig()
 		assert.Assert(t, ok && string(item.Value) == "4")
-		x.feed.Take(Update{From: in(2, 5), To: in(2, 6), Items: []fleet.Item{put("c", "2", in(2, 6))}})
+		x.feed.Apply(Update{From: in(2, 5), To: in(2, 6), Items: []fleet.Item{put("c", "2", in(2, 6))}})
 		assert.Equal(t, x.feed.Directory().Config.Version, uint64(4))
-		x.feed.Take(Update{From: in(2, 6), To: in(2, 7), Items: []fleet.Item{put("c", "5", in(2, 7))}})
+		x.feed.Apply(Update{From: in(2, 6), To: in(2, 7), Items: []fleet.Item{put("c", "5", in(2, 7))}})
 		assert.Equal(t, x.feed.Directory().Config.Version, uint64(5))
 	})
 }
@@ -223,12 +223,12 @@
 func TestEachLossOfHistoryWaitsForAReader(t *testing.T) {
 	x := newFixture()
 	x.step(t)
-	x.store.err = fleet.ErrHistoryGone
+	x.store.err = fleet.ErrCompacted
 	for n := range fleet.Revision(3) {
 		x.now = x.now.Add(time.Minute)
 		x.step(t)
 		assert.Equal(t, x.store.lists, 1, "the reader's list is waited for")
-		x.feed.Take(Update{From: 5 + n, To: 6 + n})
+		x.feed.Apply(Update{From: 5 + n, To: 6 + n})
 	}
 	x.now = x.now.Add(time.Minute)
 	x.step(t)
@@ -241,7 +241,7 @@
 func (f *vmFleet) restore(to fleet.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	era := f.at.Era() + 1
+	era := f.at.Epoch() + 1
 	log := f.log
 	f.items, f.log = map[string]fleet.Item{}, nil
 	for _, i := range log {
--- a/internal/feed/spread_test.go
+++ b/internal/feed/spread_test.go
@@ -123,7 +123,7 @@
 	}
 	items, at, changed := v.after(after)
 	if after.Number() > at.Number() {
-		return nil, 0, fleet.ErrHistoryGone
+		return nil, 0, fleet.ErrCompacted
 	}
 	if len(items) == 0 && wait > 0 {
 		select {
@@ -138,14 +138,14 @@
 
 func (v *vmOf) Revision(context.Context) (fleet.Revision, error) { return 0, nil }
 
-func (v *vmOf) Reader() bool { return v.n < fleetReaders }
+func (v *vmOf) IsStoreWatcher() bool { return v.n < fleetReaders }
 
-func (v *vmOf) VMs() int { return fleetVMs }
+func (v *vmOf) VMCount() int { return fleetVMs }
 
-func (v *vmOf) PassOn(u Update) {
+func (v *vmOf) Relay(u Update) {
 	for n, other := range v.fleet.feeds {
 		if n != v.n {
-			v.send(n, func() { other.TakeFrom(vmID(v.n), u) })
+			v.send(n, func() { other.ApplyFromPeer(vmID(v.n), u) })
 		}
 	}
 }
@@ -156,12 +156,12 @@
 	return v.PullFrom(ctx, vmID(v.fleet.draw()), after)
 }
 
-func (v *vmOf) AskReader(ctx context.Context) (coord.VMID, Proof, error) {
+func (v *vmOf) QueryStoreWatcher(ctx context.Context) (coord.VMID, Confirmation, error) {
 	n := v.fleet.draw() % fleetReaders
 	if err := v.reach(ctx, n); err != nil {
-		return vmID(n), Proof{}, err
+		return vmID(n), Confirmation{}, err
 	}
-	p := v.fleet.feeds[n].Proof()
+	p := v.fleet.feeds[n].Confirmation()
 	return vmID(n), p, v.back(ctx)
 }
 
@@ -173,7 +173,7 @@
 		if err := v.reach(ctx, n); err != nil {
 			return fleet.Item{}, err
 		}
-		if item, ok := other.ConfigInForce(); ok {
+		if item, ok := other.ActiveConfig(); ok {
 			return item, v.back(ctx)
 		}
 	}
@@ -188,7 +188,7 @@
 		if err := v.reach(ctx, n); err != nil {
 			return Update{}, err
 		}
-		if u, ok := other.Since(after); ok {
+		if u, ok := other.ChangesSince(after); ok {
 			return u, v.back(ctx)
 		}
 	}
@@ -258,7 +258,7 @@
 		for range gossipFanout {
 			state := f.feeds[n].State()
 			other := f.draw()
-			v.send(other, func() { f.feeds[other].Heard(vmID(n), state) })
+			v.send(other, func() { f.feeds[other].ObserveState(vmID(n), state) })
 		}
 		time.Sleep(gossipEvery / fleetVMs)
 	}
@@ -296,7 +296,7 @@
 		v := &vmOf{fleet: f, n: n}
 		f.feeds = append(f.feeds, New(Config{
 			Store: v, Peers: v, Prefixes: []string{""}, Decode: decode, Trim: func(i fleet.Item) fleet.Item { return i },
-			ApplyWithin: apply, DrainWithin: drain, OnChange: v.onChange, OnGone: func([]string) {}, Log: log, Now: time.Now,
+			ApplyWithin: apply, DrainWithin: drain, OnChange: v.onChange, OnRemoved: func([]string) {}, Log: log, Now: time.Now,
 		}))
 	}
 	return f
--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Place says where a finding is. Empty parts are left out when printed.
-type Place struct {
+// Position says where a finding is. Empty parts are left out when printed.
+type Position struct {
 	File    string `json:"file,omitempty"`
 	Line    int    `json:"line,omitempty"`
 	Section string `json:"section,omitempty"`
@@ -17,7 +17,7 @@
 }
 
 // WithKey returns p narrowed to a key on a line.
-func (p Place) WithKey(key string, line int) Place {
+func (p Position) WithKey(key string, line int) Position {
 	p.Key = key
 	if line > 0 {
 		p.Line = line
@@ -26,7 +26,7 @@
 }
 
 // String gives file:line: [section] key.
-func (p Place) String() string {
+func (p Position) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
 	if p.Line > 0 {
@@ -46,12 +46,12 @@
 
 // Finding is one thing that is wrong.
 type Finding struct {
-	Place Place  `json:"place"`
-	Text  string `json:"text"`
+	Position Position `json:"place"`
+	Text     string   `json:"text"`
 }
 
 // String gives the place and the text on one line.
-func (f Finding) String() string { return f.Place.String() + ": " + f.Text }
+func (f Finding) String() string { return f.Position.String() + ": " + f.Text }
 
 // List collects findings.
 type List struct {
@@ -59,14 +59,14 @@
 }
 
 // Add appends a finding.
-func (l *List) Add(p Place, format string, args ...any) {
-	l.items = append(l.items, Finding{Place: p, Text: fmt.Sprintf(format, args...)})
+func (l *List) Add(p Position, format string, args ...any) {
+	l.items = append(l.items, Finding{Position: p, Text: fmt.Sprintf(format, args...)})
 }
 
 // Items returns the findings in order of file and line.
 func (l *List) Items() []Finding {
 	sort.SliceStable(l.items, func(i, j int) bool {
-		a, b := l.items[i].Place, l.items[j].Place
+		a, b := l.items[i].Position, l.items[j].Position
 		if a.File != b.File {
 			return a.File < b.File
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -39,13 +39,13 @@
 	IdleTimeout time.Duration
 }
 
-// Kind says how often a request may run.
-type Kind int
+// RouteKind says how often a request may run.
+type RouteKind int
 
 // The kinds of route.
 const (
 	// NonIdempotent requests run at most once.
-	NonIdempotent Kind = iota
+	NonIdempotent RouteKind = iota
 	// Idempotent requests may run any number of times.
 	Idempotent
 	// Streaming requests run at most once and are answered by events.
@@ -53,7 +53,7 @@
 )
 
 // String gives the kind's name for logs.
-func (k Kind) String() string {
+func (k RouteKind) String() string {
 	switch k {
 	case Idempotent:
 		return "idempotent"
@@ -68,18 +68,18 @@
 	Name   string
 	Host   string
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Split is where requests go; empty if the route was not understood, so that its
 	// requests are refused.
-	Split []Share
+	Split []WeightedService
 	// Timeout is how long a request may take in all; 0: no limit.
 	Timeout time.Duration
-	// Objective is the latency (to the first event, for streams) that callers
+	// LatencyObjective is the latency (to the first event, for streams) that callers
 	// expect; 0: unknown.
-	Objective time.Duration
-	// Patience is how long callers of a stream wait for its first event, and for each
+	LatencyObjective time.Duration
+	// IdleTimeout is how long callers of a stream wait for its first event, and for each
 	// after it, before they leave; 0: until their deadline.
-	Patience time.Duration
+	IdleTimeout time.Duration
 	// MaxAttempts is how many targets may run one request; at least 1.
 	MaxAttempts int
 	// Priority ranks requests; 0 is the most urgent.
@@ -90,8 +90,8 @@
 	Public bool
 }
 
-// Share is a service's part of a route's requests.
-type Share struct {
+// WeightedService is a service's part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -191,9 +191,9 @@
 
 // Errors of a Store.
 var (
-	// ErrHistoryGone means that changes after the revision are no longer kept:
+	// ErrCompacted means that changes after the revision are no longer kept:
 	// list again.
-	ErrHistoryGone = errors.New("store no longer keeps these changes")
+	ErrCompacted = errors.New("store no longer keeps these changes")
 	// ErrStore marks every other failure of the store.
 	ErrStore = errors.New("store call failed")
 )
@@ -229,8 +229,8 @@
 	PromptTokens, OutputTokens int
 	// Parts of the prompt, first to last.
 	Parts []PromptPart
-	// Left is how long the caller waits; 0: not said.
-	Left time.Duration
+	// Remaining is how long the caller waits; 0: not said.
+	Remaining time.Duration
 	// Key is the digest of the caller's key; nil: there is none, or not in the form that is
 	// asked for, or more than one.
 	Key *KeyDigest
@@ -239,59 +239,59 @@
 // PromptPart is a part of a prompt that requests may share.
 type PromptPart = coord.PromptPart
 
-// Call is what is sent to a target on top of the caller's own request.
-type Call struct {
+// CallMetadata is what is sent to a target on top of the caller's own request.
+type CallMetadata struct {
 	// Target that alone may run it.
 	Target string
-	// Left is the time that the target may use.
-	Left time.Duration
+	// Remaining is the time that the target may use.
+	Remaining time.Duration
 	// Priority at the engine, 0 to 9, 0 first; negative: not sent.
 	Priority int
 	// AdapterVersion that alone may run it; 0: any.
 	AdapterVersion int64
-	// After is the last event of the answer that the caller has; empty: as the caller
+	// LastEventID is the last event of the answer that the caller has; empty: as the caller
 	// said.
-	After string
+	LastEventID string
 	// Team is the name of the caller's team; empty: none.
 	Team string
 }
 
-// Class says what an answer of a target means.
-type Class int
+// AnswerClass says what an answer of a target means.
+type AnswerClass int
 
 // The classes of answers.
 const (
 	// Answered: the target ran the request, with whatever status.
-	Answered Class = iota
+	Answered AnswerClass = iota
 	// Busy: not run, and the target may have room later.
 	Busy
-	// Misplaced: not run; another process has the address, or the target does
+	// Misrouted: not run; another process has the address, or the target does
 	// not hold what the request needs.
-	Misplaced
-	// Foreign: this answers another request.
-	Foreign
+	Misrouted
+	// Mismatched: this answers another request.
+	Mismatched
 )
 
 // Codec translates requests and answers.
 type Codec interface {
-	// Request decodes a caller's headers.
-	Request(h http.Header) (Request, error)
-	// Forward returns the caller's headers that go on to a target: neither those of
+	// DecodeRequest decodes a caller's headers.
+	DecodeRequest(h http.Header) (Request, error)
+	// ForwardRequest returns the caller's headers that go on to a target: neither those of
 	// the connection nor those that are ours to set, nor the key where keys are asked for.
-	Forward(h http.Header, keyed bool) http.Header
-	// Return returns the headers of a target's answer that go on to the caller.
-	Return(h http.Header) http.Header
+	ForwardRequest(h http.Header, keyed bool) http.Header
+	// ForwardResponse returns the headers of a target's answer that go on to the caller.
+	ForwardResponse(h http.Header) http.Header
 	// Encode sets the headers of a call to a target; h comes from Forward.
-	Encode(h http.Header, c Call)
+	Encode(h http.Header, c CallMetadata)
 	// Classify says what a target's answer to the request id means.
-	Classify(id string, status int, h http.Header) Class
+	Classify(id string, status int, h http.Header) AnswerClass
 	// Notice reads what an answer says of its target, whatever request it is to.
 	Notice(status int, h http.Header) Notice
-	// Continues reports whether an answer can go on where another one, with the head
+	// CanResume reports whether an answer can go on where another one, with the head
 	// first, broke off.
-	Continues(first, next http.Header) bool
-	// AskForKey sets the headers of an answer that a key is missing.
-	AskForKey(h http.Header)
+	CanResume(first, next http.Header) bool
+	// Challenge sets the headers of an answer that a key is missing.
+	Challenge(h http.Header)
 	// Refuse sets the headers of an answer that the request was not run.
 	Refuse(h http.Header, retryAfter time.Duration)
 }
--- a/internal/fleet/notice.go
+++ b/internal/fleet/notice.go
@@ -6,8 +6,8 @@
 type Notice struct {
 	// Leaving says that it ends soon and is to get no further requests.
 	Leaving bool
-	// Rest is for how long it wants no requests from this VM; 0: it does not ask for rest.
-	Rest time.Duration
+	// Backoff is for how long it wants no requests from this VM; 0: it does not ask for rest.
+	Backoff time.Duration
 	// RateLimit bounds the requests that it takes.
 	RateLimit RateLimit
 }
@@ -15,10 +15,10 @@
 // RateLimit bounds the requests that a target takes from all VMs together, for as long as its answers
 // name it.
 type RateLimit struct {
-	Named bool
+	Present bool
 	// PerSecond is UnreadableRate where the named limit could not be read.
 	PerSecond float64
 }
 
-// UnreadableRate stands for a limit that was named and could not be read.
-const UnreadableRate = -1
+// InvalidRate stands for a limit that was named and could not be read.
+const InvalidRate = -1
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -11,11 +11,11 @@
 	// Version of the adapter to load; 0: the newest.
 	Version int64
 	// Holder and Fence name who gives the order, and under which number.
-	Holder string
-	Fence  uint64
-	// Expect is how many orders the engine must have taken so far for it to obey;
+	Holder       string
+	FencingToken uint64
+	// ExpectedOrders is how many orders the engine must have taken so far for it to obey;
 	// nil: any number.
-	Expect *uint64
+	ExpectedOrders *uint64
 }
 
 // OrderResult is an engine's answer to an order.
@@ -25,16 +25,16 @@
 const (
 	// OrderUnknown: no answer; it may have been taken.
 	OrderUnknown OrderResult = iota
-	// OrderBegun: being carried out.
-	OrderBegun
-	// OrderHolds: already so.
-	OrderHolds
+	// OrderAccepted: being carried out.
+	OrderAccepted
+	// OrderAlreadyApplied: already so.
+	OrderAlreadyApplied
 	// OrderConflict: not taken; another order is under way.
 	OrderConflict
 	// OrderFenced: not taken; a higher fencing number was seen.
 	OrderFenced
-	// OrderMisplaced: not taken; the target is another process.
-	OrderMisplaced
+	// OrderMisrouted: not taken; the target is another process.
+	OrderMisrouted
 	// OrderInvalid: not taken, and never will be.
 	OrderInvalid
 )
@@ -60,8 +60,8 @@
 	Busy    bool
 	Running int
 	Waiting int
-	// Orders is how many orders the engine has taken since its start.
-	Orders uint64
+	// OrderCount is how many orders the engine has taken since its start.
+	OrderCount uint64
 	// Notice is what the answer says besides; it counts also beside an error.
 	Notice Notice
 }
--- a/internal/fleet/revision.go
+++ b/internal/fleet/revision.go
@@ -22,20 +22,20 @@
 	return Revision(era<<numberBits | number), nil
 }
 
-// Era returns the era.
-func (r Revision) Era() uint64 { return uint64(r) >> numberBits }
+// Epoch returns the era.
+func (r Revision) Epoch() uint64 { return uint64(r) >> numberBits }
 
 // Number returns the number within the era.
 func (r Revision) Number() uint64 { return uint64(r) & (1<<numberBits - 1) }
 
-// EraStart is before all revisions of its era.
-func (r Revision) EraStart() Revision { return r &^ (1<<numberBits - 1) }
+// EpochStart is before all revisions of its era.
+func (r Revision) EpochStart() Revision { return r &^ (1<<numberBits - 1) }
 
 // String gives the number, after the era if there is one.
 func (r Revision) String() string {
 	number := strconv.FormatUint(r.Number(), 10)
-	if r.Era() == 0 {
+	if r.Epoch() == 0 {
 		return number
 	}
-	return strconv.FormatUint(r.Era(), 10) + "." + number
+	return strconv.FormatUint(r.Epoch(), 10) + "." + number
 }
--- a/internal/fleet/team.go
+++ b/internal/fleet/team.go
@@ -13,29 +13,29 @@
 // shownBytes of a digest name a key in logs: enough to tell a fleet's keys apart.
 const shownBytes = 4
 
-// Shown returns the first bytes of a digest, for logs.
-func (d KeyDigest) Shown() []byte { return d[:shownBytes] }
+// LogPrefix returns the first bytes of a digest, for logs.
+func (d KeyDigest) LogPrefix() []byte { return d[:shownBytes] }
 
 // Quota bounds what a team's requests may cost over all VMs.
 type Quota struct {
 	// PerSecond is the rate, and Burst what may come at once on top, in units; PerSecond 0:
 	// no limit.
 	PerSecond, Burst float64
-	// Tokens says that a request costs its prompt and output tokens, or Plain where it
+	// ChargeTokens says that a request costs its prompt and output tokens, or Plain where it
 	// names none; else each request costs one unit.
-	Tokens bool
-	Plain  float64
+	ChargeTokens bool
+	DefaultCost  float64
 }
 
 // Cost returns what a request costs, in units.
 func (q Quota) Cost(r *Request) float64 {
 	switch {
-	case !q.Tokens:
+	case !q.ChargeTokens:
 		return 1
 	case r.PromptTokens+r.OutputTokens > 0:
 		return float64(r.PromptTokens + r.OutputTokens)
 	}
-	return q.Plain
+	return q.DefaultCost
 }
 
 // Team is an organisation whose requests carry its keys.
@@ -71,8 +71,8 @@
 	return t
 }
 
-// Of returns the team of a key. A key that is known and of no single team is listed with nil.
-func (t *Teams) Of(key KeyDigest) (team *Team, listed bool) {
+// Lookup returns the team of a key. A key that is known and of no single team is listed with nil.
+func (t *Teams) Lookup(key KeyDigest) (team *Team, listed bool) {
 	team, listed = t.byKey[key]
 	return team, listed
 }
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -15,18 +15,18 @@
 // Admission asks the scheduler of a service for targets.
 type Admission interface {
 	// Admit waits for a verdict. Done must follow a grant.
-	Admit(ctx context.Context, r *AdmitRequest) Verdict
+	Admit(ctx context.Context, r *AdmitRequest) Decision
 	// Done tells how a granted request ended. It does not wait.
-	Done(v Verdict, how scheduler.Ending)
-	// First tells that the first event of a granted request has come. It does not
+	Done(v Decision, how scheduler.Ending)
+	// FirstEvent tells that the first event of a granted request has come. It does not
 	// wait.
-	First(v Verdict)
-	// Chosen tells which target this VM chose for a request that nobody gave a verdict on. Done
+	FirstEvent(v Decision)
+	// ChosenLocally tells which target this VM chose for a request that nobody gave a verdict on. Done
 	// or DonePlain must follow.
-	Chosen(r *AdmitRequest, v Verdict)
+	ChosenLocally(r *AdmitRequest, v Decision)
 	// DonePlain tells how a request ended that was granted a target of a plain service, and
 	// how long it took there. It does not wait.
-	DonePlain(v Verdict, how balance.Ending, took time.Duration)
+	DonePlain(v Decision, how balance.Ending, took time.Duration)
 }
 
 // AdmitRequest is a request that wants a target.
@@ -41,27 +41,27 @@
 	Route   *fleet.Route
 	// Deadline after which an answer is worthless.
 	Deadline time.Time
-	// FirstBy is when the caller leaves if no event has come; of a plain request, until when
+	// FirstEventDeadline is when the caller leaves if no event has come; of a plain request, until when
 	// an answer is in time.
-	FirstBy time.Time
+	FirstEventDeadline time.Time
 	// Age is how long ago the caller first asked for this.
 	Age time.Duration
 	// Content stands for what it asks.
 	Content quarantine.Digest
 	Exclude []string
-	// Resting are the targets that want no requests from this VM for now.
-	Resting []string
-	// Limited are the targets that limit the rate of their requests: only the VM that is asked may
+	// BackedOff are the targets that want no requests from this VM for now.
+	BackedOff []string
+	// RateLimited are the targets that limit the rate of their requests: only the VM that is asked may
 	// choose them.
-	Limited []string
+	RateLimited []string
 }
 
-// Verdict is a target, or a refusal if Target is empty.
-type Verdict struct {
+// Decision is a target, or a refusal if Target is empty.
+type Decision struct {
 	Service string
 	Ticket  uint64
-	// From is the VM that gave the verdict.
-	From           string
+	// DecidedBy is the VM that gave the verdict.
+	DecidedBy      string
 	Target         string
 	Address        string
 	AdapterVersion int64
@@ -71,15 +71,15 @@
 	Reason     string
 	// OverQuota says that it is refused for its team's quota.
 	OverQuota bool
-	// Alone says that nobody was asked: this VM is to choose a target of a plain service by
+	// LocalChoice says that nobody was asked: this VM is to choose a target of a plain service by
 	// what it saw itself.
-	Alone bool
-	// Placed is the copy of the store on which the target was chosen.
-	Placed events.Copy
-	// Lag is the time that question and verdict were under way; 0: decided here.
-	Lag time.Duration
-	// Decided is when the verdict was given at the earliest.
-	Decided time.Time
-	// Rate is the limit by which the target gets the request; its Stamp is 0 if it has none.
-	Rate ratelimit.Limit
+	LocalChoice bool
+	// StoreCopy is the copy of the store on which the target was chosen.
+	StoreCopy events.StoreCopy
+	// NetworkDelay is the time that question and verdict were under way; 0: decided here.
+	NetworkDelay time.Duration
+	// DecidedAt is when the verdict was given at the earliest.
+	DecidedAt time.Time
+	// RateLimit is the limit by which the target gets the request; its Stamp is 0 if it has none.
+	RateLimit ratelimit.Limit
 }
--- a/internal/gateway/age_test.go
+++ b/internal/gateway/age_test.go
@@ -73,6 +73,6 @@
 	}
 	_, _ = x.send(t, "POST", "/once/x", "", "Wait", "2s")
 	asked := x.admission.asked
-	fresh, back := asked[19].FirstBy, asked[20].FirstBy
+	fresh, back := asked[19].FirstEventDeadline, asked[20].FirstEventDeadline
 	assert.Assert(t, back.Sub(fresh) < -800*time.Millisecond, "%v", back.Sub(fresh))
 }
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -16,7 +16,7 @@
 
 // refuseAs refuses a request for a verdict's reason. Its caller is not told to come back while all
 // targets of the service rest.
-func (x *exchange) refuseAs(v Verdict, reason string) {
+func (x *exchange) refuseAs(v Decision, reason string) {
 	status := http.StatusServiceUnavailable
 	if v.OverQuota {
 		status = http.StatusTooManyRequests
@@ -36,8 +36,8 @@
 		return startPause
 	}
 	pause := awayPause
-	if r, err := x.g.cfg.Codec.Request(x.r.Header); err == nil && r.Left > 0 {
-		pause = min(pause, time.Duration(waitShare*float64(r.Left)))
+	if r, err := x.g.cfg.Codec.DecodeRequest(x.r.Header); err == nil && r.Remaining > 0 {
+		pause = min(pause, time.Duration(waitShare*float64(r.Remaining)))
 	}
 	return pause
 }
--- a/internal/gateway/content_test.go
+++ b/internal/gateway/content_test.go
@@ -63,10 +63,10 @@
 		model      []scheduler.Ending
 		plain      []balance.Ending
 	}{
-		{"a stream before its first event", "/stream/x", reset, []scheduler.Ending{scheduler.EndedBroke}, nil},
-		{"a stream", "/stream/x", half, []scheduler.Ending{scheduler.EndedBroke}, nil},
+		{"a stream before its first event", "/stream/x", reset, []scheduler.Ending{scheduler.EndedDisconnected}, nil},
+		{"a stream", "/stream/x", half, []scheduler.Ending{scheduler.EndedDisconnected}, nil},
 		{"a stream that fails", "/stream/x", failure, []scheduler.Ending{scheduler.EndedFailed}, nil},
-		{"a plain call", "/once/x", reset, nil, []balance.Ending{balance.Broke}},
+		{"a plain call", "/once/x", reset, nil, []balance.Ending{balance.Disconnected}},
 		{"a plain call that fails", "/once/x", failure, nil, []balance.Ending{balance.Failed}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,8 +35,8 @@
 	Directory() *feed.Directory
 	// Age is how long ago that was known to be current, as far as others told.
 	Age() time.Duration
-	// Proven is an upper bound on how long ago it was current.
-	Proven() time.Duration
+	// ConfirmedAge is an upper bound on how long ago it was current.
+	ConfirmedAge() time.Duration
 	// Revision of the store up to which it is complete.
 	Revision() fleet.Revision
 }
@@ -53,20 +53,20 @@
 	Retry retry.Config
 	// VMs returns how many VMs share budgets and connections.
 	VMs func() int
-	// Bounds are for targets that leave.
-	Bounds Bounds
-	// Heard takes what a target said of itself beside an answer, and the verdict on which the answered
+	// DrainBounds are for targets that leave.
+	DrainBounds DrainBounds
+	// OnNotice takes what a target said of itself beside an answer, and the verdict on which the answered
 	// request was sent; nil: that is not known. It must not wait.
-	Heard func(target string, said fleet.Notice, v *Verdict)
+	OnNotice func(target string, said fleet.Notice, v *Decision)
 	// RateLimits knows which targets limit the rate of their requests.
 	RateLimits RateLimits
-	// Wake looks whether this VM was suspended, which Now and all ages count from then on.
-	Wake func()
-	// KeysWithin is how old a copy of the store may be to judge keys by; 0: any.
-	KeysWithin time.Duration
-	Log        *events.Log
-	Metrics    *Metrics
-	Now        func() time.Time
+	// CheckSuspension looks whether this VM was suspended, which Now and all ages count from then on.
+	CheckSuspension func()
+	// MaxKeyAge is how old a copy of the store may be to judge keys by; 0: any.
+	MaxKeyAge time.Duration
+	Log       *events.Log
+	Metrics   *Metrics
+	Now       func() time.Time
 }
 
 // Gateway implements http.Handler. Lock order: Gateway.mu is taken alone.
@@ -89,8 +89,8 @@
 	return &Gateway{cfg: cfg, began: cfg.Now(), ages: newAges(), budgets: map[string]*retry.Budget{}, balancer: balance.New(), rests: backoff.New()}
 }
 
-// Open returns how many requests are open.
-func (g *Gateway) Open() int64 { return g.open.Load() }
+// OpenRequests returns how many requests are open.
+func (g *Gateway) OpenRequests() int64 { return g.open.Load() }
 
 // Drain makes every answer from now on the last of its connection.
 func (g *Gateway) Drain() { g.draining.Store(true) }
@@ -144,7 +144,7 @@
 	exclude []string
 	stream  stream
 	// verdict is the one that is acted on.
-	verdict Verdict
+	verdict Decision
 	// line closes the request in the log.
 	line events.Request
 }
@@ -156,9 +156,9 @@
 	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	g.cfg.Wake()
+	g.cfg.CheckSuspension()
 	x := &exchange{g: g, w: w, r: r, began: g.cfg.Now()}
-	x.line.FeedAge, x.line.Proven = g.cfg.Directory.Age(), g.cfg.Directory.Proven()
+	x.line.FeedAge, x.line.ConfirmedAge = g.cfg.Directory.Age(), g.cfg.Directory.ConfirmedAge()
 	dir := g.cfg.Directory.Directory() // after Proven, see there
 	if dir.Config == nil {
 		x.refuse("no_configuration", x.pauseWithoutConfiguration())
@@ -168,7 +168,7 @@
 	if !x.findRoute(dir) || !x.decode() || !x.identify(dir) || !x.readBody(dir.Config.Limits) {
 		return
 	}
-	x.header = g.cfg.Codec.Forward(r.Header, x.keyed)
+	x.header = g.cfg.Codec.ForwardRequest(r.Header, x.keyed)
 	ctx, cancel := context.WithTimeout(r.Context(), x.left())
 	defer cancel()
 	x.ctx = ctx
@@ -217,7 +217,7 @@
 
 func (x *exchange) decode() bool {
 	var err error
-	if x.req, err = x.g.cfg.Codec.Request(x.r.Header); err != nil {
+	if x.req, err = x.g.cfg.Codec.DecodeRequest(x.r.Header); err != nil {
 		x.denyBecause(http.StatusBadRequest, "bad_header", err)
 		return false
 	}
@@ -225,11 +225,11 @@
 	if left <= 0 {
 		left = defaultTimeout
 	}
-	if x.req.Left > 0 {
-		left = min(left, x.req.Left)
+	if x.req.Remaining > 0 {
+		left = min(left, x.req.Remaining)
 	}
 	x.deadline = x.began.Add(left)
-	x.age = x.g.ages.of(x.route.Name, x.req.Left)
+	x.age = x.g.ages.of(x.route.Name, x.req.Remaining)
 	return true
 }
 
@@ -284,7 +284,7 @@
 	}
 	x.budget = x.g.budget(name)
 	x.g.mu.Lock()
-	x.budget.Request()
+	x.budget.RecordRequest()
 	x.g.mu.Unlock()
 }
 
@@ -315,19 +315,19 @@
 func (x *exchange) mayRetry() bool {
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	if x.budget.Take(rand.Float64()) {
+	if x.budget.TryAcquire(rand.Float64()) {
 		return true
 	}
 	x.g.cfg.Metrics.BudgetEmpty.Add(1)
-	x.g.cfg.Log.RetryDenied(x.req.ID, x.service.Name, x.budget.Left())
+	x.g.cfg.Log.RetryDenied(x.req.ID, x.service.Name, x.budget.Remaining())
 	return false
 }
 
-// Tidy forgets what is no longer needed. It is to be called now and then.
-func (g *Gateway) Tidy() {
+// Prune forgets what is no longer needed. It is to be called now and then.
+func (g *Gateway) Prune() {
 	now := g.cfg.Now()
 	g.mu.Lock()
-	g.balancer.Tidy(now)
+	g.balancer.ExpireIdle(now)
 	g.mu.Unlock()
 	g.cfg.Pool.CloseIdle(now)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 // testCodec is a wire format of the tests' own.
 type testCodec struct{}
 
-func (testCodec) Request(h http.Header) (fleet.Request, error) {
+func (testCodec) DecodeRequest(h http.Header) (fleet.Request, error) {
 	r := fleet.Request{ID: h.Get("Id"), Adapter: fleet.AdapterRef{Model: "m", Adapter: h.Get("Adapter")}}
 	if r.ID == "" {
 		return r, errors.New("no id")
@@ -41,13 +41,13 @@
 		r.Key = &digest
 	}
 	if d, err := time.ParseDuration(h.Get("Wait")); err == nil {
-		r.Left = d
+		r.Remaining = d
 	}
 	return r, nil
 }
 
-func (testCodec) Forward(h http.Header, keyed bool) http.Header {
-	h = testCodec{}.Return(h)
+func (testCodec) ForwardRequest(h http.Header, keyed bool) http.Header {
+	h = testCodec{}.ForwardResponse(h)
 	if keyed {
 		h.Del("Key")
 	}
@@ -57,7 +57,7 @@
 	return h
 }
 
-func (testCodec) Return(h http.Header) http.Header {
+func (testCodec) ForwardResponse(h http.Header) http.Header {
 	h = h.Clone()
 	for _, name := range []string{"Connection", "Content-Length", "Expect", "Keep-Alive", "Transfer-Encoding"} {
 		h.Del(name)
@@ -65,30 +65,30 @@
 	return h
 }
 
-func (testCodec) Encode(h http.Header, c fleet.Call) {
+func (testCodec) Encode(h http.Header, c fleet.CallMetadata) {
 	h.Set("Target", c.Target)
-	h.Set("Left", c.Left.String())
-	if c.After != "" {
-		h.Set("After", c.After)
+	h.Set("Left", c.Remaining.String())
+	if c.LastEventID != "" {
+		h.Set("After", c.LastEventID)
 	}
 	if c.Team != "" {
 		h.Set("Team", c.Team)
 	}
 }
 
-func (testCodec) Classify(id string, status int, h http.Header) fleet.Class {
+func (testCodec) Classify(id string, status int, h http.Header) fleet.AnswerClass {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		return fleet.Misplaced
+		return fleet.Misrouted
 	case h.Get("Not-Run") != "":
 		return fleet.Busy
 	case h.Get("Id") != id:
-		return fleet.Foreign
+		return fleet.Mismatched
 	}
 	return fleet.Answered
 }
 
-func (testCodec) Continues(first, next http.Header) bool {
+func (testCodec) CanResume(first, next http.Header) bool {
 	return first.Get("Weights") == next.Get("Weights")
 }
 
@@ -97,10 +97,10 @@
 	if err != nil {
 		rest = 0
 	}
-	return fleet.Notice{Leaving: h.Get("Leaving") != "", Rest: rest}
+	return fleet.Notice{Leaving: h.Get("Leaving") != "", Backoff: rest}
 }
 
-func (testCodec) AskForKey(h http.Header) { h.Set("Ask", "key") }
+func (testCodec) Challenge(h http.Header) { h.Set("Ask", "key") }
 
 func (testCodec) Refuse(h http.Header, retryAfter time.Duration) {
 	h.Set("Retry-After", retryAfter.String())
@@ -148,25 +148,25 @@
 	targets []*fleet.Target
 	endings []scheduler.Ending
 	asked   []AdmitRequest
-	placed  events.Copy
+	placed  events.StoreCopy
 	lags    []time.Duration // of the next verdicts; 0 after them
 	// plain answers for plain services; nil: nobody is asked.
-	plain        func(r *AdmitRequest) Verdict
+	plain        func(r *AdmitRequest) Decision
 	plainEndings []balance.Ending
 }
 
-func (a *fixedAdmission) Admit(_ context.Context, r *AdmitRequest) Verdict {
+func (a *fixedAdmission) Admit(_ context.Context, r *AdmitRequest) Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked = append(a.asked, *r)
 	if r.Plain && a.plain == nil {
-		return Verdict{Alone: true}
+		return Decision{LocalChoice: true}
 	}
 	if r.Plain {
 		return a.plain(r)
 	}
 	if len(a.targets) == 0 {
-		return Verdict{RetryAfter: time.Second, Reason: "none_left"}
+		return Decision{RetryAfter: time.Second, Reason: "none_left"}
 	}
 	t := a.targets[0]
 	a.targets = a.targets[1:]
@@ -174,21 +174,21 @@
 	if len(a.lags) > 0 {
 		lag, a.lags = a.lags[0], a.lags[1:]
 	}
-	return Verdict{Lag: lag, Service: r.Service, Ticket: 1, Target: t.ID, Address: t.Address, Placed: a.placed}
+	return Decision{NetworkDelay: lag, Service: r.Service, Ticket: 1, Target: t.ID, Address: t.Address, StoreCopy: a.placed}
 }
 
-func (a *fixedAdmission) Done(_ Verdict, how scheduler.Ending) {
+func (a *fixedAdmission) Done(_ Decision, how scheduler.Ending) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.endings = append(a.endings, how)
 }
 
-func (a *fixedAdmission) First(Verdict) {}
+func (a *fixedAdmission) FirstEvent(Decision) {}
 
-func (a *fixedAdmission) Chosen(*AdmitRequest, Verdict) {}
+func (a *fixedAdmission) ChosenLocally(*AdmitRequest, Decision) {}
 
-func (a *fixedAdmission) DonePlain(v Verdict, how balance.Ending, _ time.Duration) {
-	if v.Alone {
+func (a *fixedAdmission) DonePlain(v Decision, how balance.Ending, _ time.Duration) {
+	if v.LocalChoice {
 		return
 	}
 	a.mu.Lock()
@@ -210,10 +210,10 @@
 	proven time.Duration
 }
 
-func (d *fixedDirectory) Directory() *feed.Directory { return d.dir }
-func (d *fixedDirectory) Age() time.Duration         { return d.age }
-func (d *fixedDirectory) Proven() time.Duration      { return d.proven }
-func (d *fixedDirectory) Revision() fleet.Revision   { return d.dir.Revision }
+func (d *fixedDirectory) Directory() *feed.Directory  { return d.dir }
+func (d *fixedDirectory) Age() time.Duration          { return d.age }
+func (d *fixedDirectory) ConfirmedAge() time.Duration { return d.proven }
+func (d *fixedDirectory) Revision() fleet.Revision    { return d.dir.Revision }
 
 type fixture struct {
 	gateway   *Gateway
@@ -223,11 +223,11 @@
 }
 
 func testConfig() *fleet.Config {
-	route := func(prefix string, kind fleet.Kind, service string, attempts int) fleet.Route {
+	route := func(prefix string, kind fleet.RouteKind, service string, attempts int) fleet.Route {
 		return fleet.Route{
 			Name: strings.Trim(prefix, "/"), Host: "h.example", Prefix: prefix, Kind: kind,
-			Split: []fleet.Share{{Service: service, Weight: 1}}, Timeout: 10 * time.Second,
-			Objective: 5 * time.Second, MaxAttempts: attempts,
+			Split: []fleet.WeightedService{{Service: service, Weight: 1}}, Timeout: 10 * time.Second,
+			LatencyObjective: 5 * time.Second, MaxAttempts: attempts,
 		}
 	}
 	return &fleet.Config{
@@ -258,10 +258,10 @@
 	x := &fixture{directory: &fixedDirectory{dir: dir}, admission: &fixedAdmission{}}
 	x.gateway = New(Config{
 		VM: "vm", Zone: "z-a", Codec: testCodec{}, Directory: x.directory, Admission: x.admission, Pool: hop.New(nil),
-		Wake: func() {}, RateLimits: knownLimits{},
-		Heard: func(target string, said fleet.Notice, _ *Verdict) {
-			if said.Rest > 0 {
-				x.gateway.AskRest(target, said.Rest)
+		CheckSuspension: func() {}, RateLimits: knownLimits{},
+		OnNotice: func(target string, said fleet.Notice, _ *Decision) {
+			if said.Backoff > 0 {
+				x.gateway.RecordBackoff(target, said.Backoff)
 			}
 		},
 		Retry: retry.Config{Ratio: 0.2, Slack: 50}, VMs: func() int { return 1 },
@@ -548,10 +548,10 @@
 		endings []scheduler.Ending
 	}{
 		{"whole", streamOf(3, nil), false, 200, 0, []scheduler.Ending{scheduler.EndedOK}},
-		{"cut midway", streamOf(3, drops), true, 0, 0, []scheduler.Ending{scheduler.EndedBroke}},
-		{"dropped before the first event", drops, false, 502, 0, []scheduler.Ending{scheduler.EndedBroke}},
+		{"cut midway", streamOf(3, drops), true, 0, 0, []scheduler.Ending{scheduler.EndedDisconnected}},
+		{"dropped before the first event", drops, false, 502, 0, []scheduler.Ending{scheduler.EndedDisconnected}},
 		{"full", full, false, 200, 1, []scheduler.Ending{scheduler.EndedBusy, scheduler.EndedOK}},
-		{"lacks the adapter", elsewhere, false, 200, 1, []scheduler.Ending{scheduler.EndedMisplaced, scheduler.EndedOK}},
+		{"lacks the adapter", elsewhere, false, 200, 1, []scheduler.Ending{scheduler.EndedMisrouted, scheduler.EndedOK}},
 		{"fails", fails, false, 500, 0, []scheduler.Ending{scheduler.EndedFailed}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -639,7 +639,7 @@
 }
 
 func TestPickService(t *testing.T) {
-	r := &fleet.Route{Split: []fleet.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
+	r := &fleet.Route{Split: []fleet.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
 	for i := range 2000 {
 		counts[pickService(r, fmt.Sprint(i))]++
--- a/internal/gateway/identify.go
+++ b/internal/gateway/identify.go
@@ -28,7 +28,7 @@
 	if teams == nil || x.route.Public {
 		return true
 	}
-	if bound := x.g.cfg.KeysWithin; bound > 0 && x.line.Proven > bound {
+	if bound := x.g.cfg.MaxKeyAge; bound > 0 && x.line.ConfirmedAge > bound {
 		x.w.Header().Set("Connection", "close") // another VM may know
 		x.refuse("keys_not_current", x.pauseForKeys(bound))
 		return false
@@ -37,8 +37,8 @@
 		x.denyKey("no_key")
 		return false
 	}
-	x.line.Key = x.req.Key.Shown()
-	team, listed := teams.Of(*x.req.Key)
+	x.line.Key = x.req.Key.LogPrefix()
+	team, listed := teams.Lookup(*x.req.Key)
 	switch {
 	case team != nil:
 		x.takeTeam(team)
@@ -85,22 +85,22 @@
 // pauseForKeys is when to come back to a VM that cannot judge keys.
 func (x *exchange) pauseForKeys(bound time.Duration) time.Duration {
 	pause := keysPause
-	if x.line.Proven > 2*bound {
+	if x.line.ConfirmedAge > 2*bound {
 		pause = keysAwayPause
 	}
-	if x.req.Left > 0 {
-		pause = min(pause, time.Duration(waitShare*float64(x.req.Left)))
+	if x.req.Remaining > 0 {
+		pause = min(pause, time.Duration(waitShare*float64(x.req.Remaining)))
 	}
 	return pause
 }
 
 func (x *exchange) denyKey(reason string) {
-	x.g.cfg.Codec.AskForKey(x.w.Header())
+	x.g.cfg.Codec.Challenge(x.w.Header())
 	x.deny(http.StatusUnauthorized, reason)
 }
 
 // KeysCurrent reports whether this VM can judge keys, or need not.
 func (g *Gateway) KeysCurrent() bool {
 	c := g.cfg.Directory.Directory().Config
-	return c == nil || c.Teams == nil || g.cfg.KeysWithin == 0 || g.cfg.Directory.Proven() <= g.cfg.KeysWithin
+	return c == nil || c.Teams == nil || g.cfg.MaxKeyAge == 0 || g.cfg.Directory.ConfirmedAge() <= g.cfg.MaxKeyAge
 }
--- a/internal/gateway/identify_test.go
+++ b/internal/gateway/identify_test.go
@@ -35,14 +35,14 @@
 	public := c.Routes[0]
 	public.Prefix, public.Public = "/public/", true
 	c.Routes = append(c.Routes, public)
-	x.gateway.cfg.KeysWithin = 4900 * time.Millisecond
+	x.gateway.cfg.MaxKeyAge = 4900 * time.Millisecond
 	return x
 }
 
 // TestKeyIsJudgedAfterASuspension by a copy that is older than the steady clock says.
 func TestKeyIsJudgedAfterASuspension(t *testing.T) {
 	x := newKeyedFixture(t, newBackend(t, "a"))
-	x.gateway.cfg.Wake = func() { x.directory.proven = 10 * time.Second }
+	x.gateway.cfg.CheckSuspension = func() { x.directory.proven = 10 * time.Second }
 	answer, _ := x.send(t, "POST", "/once/x", "", "Key", "crew-key")
 	assert.Equal(t, answer.StatusCode, 503)
 }
@@ -147,7 +147,7 @@
 func TestWithoutTeamsNothingChanges(t *testing.T) {
 	b := newBackend(t, "a")
 	x := newFixture(t, b)
-	x.gateway.cfg.KeysWithin = 4900 * time.Millisecond
+	x.gateway.cfg.MaxKeyAge = 4900 * time.Millisecond
 	x.directory.proven = time.Hour
 	answer, _ := x.send(t, "POST", "/once/x", "", "Key", "anything")
 	assert.Equal(t, answer.StatusCode, 200)
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -18,9 +18,9 @@
 	errOver = errors.New("the time of the request is over")
 )
 
-// Bounds divide the time in which a leaving target must be left alone. The zero value
+// DrainBounds divide the time in which a leaving target must be left alone. The zero value
 // sets none.
-type Bounds struct {
+type DrainBounds struct {
 	// Propagation is how long the word that a target leaves takes to every VM that the
 	// others reach: a copy of the store that is older cannot tell that it stays.
 	Propagation time.Duration
@@ -33,7 +33,7 @@
 // the age of this VM's own copy. A VM that hears nothing, or stood still, may get verdicts
 // from before a target's word. While the store is away all copies are old, and verdicts
 // that come in time are acted on.
-func (b Bounds) tooOld(lag, age time.Duration) bool {
+func (b DrainBounds) tooOld(lag, age time.Duration) bool {
 	return b.InFlight > 0 && lag > b.InFlight && age > b.Propagation
 }
 
@@ -51,10 +51,10 @@
 // still for some 3 s as engines left, 18 of about 75,000 requests of three runs reached an
 // engine 3.3 s after its word, of 3 s allowed; none with this look and what is around it.
 func (x *exchange) beforeSending(target string, connect time.Duration) error {
-	x.g.cfg.Wake()
+	x.g.cfg.CheckSuspension()
 	sent := &x.line.Sent
 	sent.Connect = connect
-	sent.Sender = x.copyOfStore()
+	sent.SenderCopy = x.copyOfStore()
 	sent.TargetState = x.stateOf(target)
 	switch {
 	case x.left() <= 0:
@@ -63,7 +63,7 @@
 		return x.withdrawn(errResting)
 	case sent.TargetState == stateGone || sent.TargetState == fleet.TargetDraining.String():
 		return x.withdrawn(errLeaving)
-	case x.g.cfg.Bounds.tooOld(sent.VerdictLag, sent.Sender.Age):
+	case x.g.cfg.DrainBounds.tooOld(sent.DecisionDelay, sent.SenderCopy.Age):
 		return x.withdrawn(errOldVerdict)
 	}
 	if err := x.checkRate(target); err != nil {
@@ -75,7 +75,7 @@
 // withdrawn counts an attempt that is not sent. It takes nothing of the retry budget, as
 // nothing arrives at the target.
 func (x *exchange) withdrawn(err error) error {
-	x.line.Sends--
+	x.line.Attempts--
 	x.g.cfg.Metrics.Withdrawn.Add(1)
 	return err
 }
@@ -90,15 +90,15 @@
 	switch {
 	case t != nil:
 		return t.State.String()
-	case dir.Gone[target]:
+	case dir.Removed[target]:
 		return stateGone
-	case x.line.Sent.Sender.Revision >= x.line.Sent.Placed.Revision:
+	case x.line.Sent.SenderCopy.Revision >= x.line.Sent.PlacementCopy.Revision:
 		return stateGone
 	}
 	return stateUnknown
 }
 
 // copyOfStore is this VM's copy now.
-func (x *exchange) copyOfStore() events.Copy {
-	return events.Copy{Revision: x.g.cfg.Directory.Revision(), Age: x.g.cfg.Directory.Age()}
+func (x *exchange) copyOfStore() events.StoreCopy {
+	return events.StoreCopy{Revision: x.g.cfg.Directory.Revision(), Age: x.g.cfg.Directory.Age()}
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -49,11 +49,11 @@
 	meanwhile func()
 }
 
-func (a *lateAdmission) Admit(ctx context.Context, r *AdmitRequest) Verdict {
+func (a *lateAdmission) Admit(ctx context.Context, r *AdmitRequest) Decision {
 	v := a.fixedAdmission.Admit(ctx, r)
 	if v.Target == "a" {
 		a.meanwhile()
-		v.Placed = a.placed
+		v.StoreCopy = a.placed
 	}
 	return v
 }
@@ -78,8 +78,8 @@
 	// goneHere: the verdict rests on a newer copy, of a VM that was told late.
 	goneHere := func(x *fixture, _ *backend) {
 		x.directory.setTarget("a", nil)
-		x.directory.dir.Gone = map[string]bool{"a": true}
-		x.admission.placed = events.Copy{Revision: x.directory.Revision() + 1}
+		x.directory.dir.Removed = map[string]bool{"a": true}
+		x.admission.placed = events.StoreCopy{Revision: x.directory.Revision() + 1}
 	}
 	for _, row := range []struct {
 		name                  string
@@ -134,7 +134,7 @@
 func TestVerdictThatKnowsMoreIsActedOn(t *testing.T) {
 	x, a, _ := leavingFixture(t, func(*fixture, *backend) {}, func(*fixture, *backend) {})
 	x.directory.setTarget("a", nil)
-	x.admission.placed = events.Copy{Revision: x.directory.Revision() + 1}
+	x.admission.placed = events.StoreCopy{Revision: x.directory.Revision() + 1}
 	answer, _ := x.send(t, "POST", "/stream/x", "prompt")
 	assert.Equal(t, answer.StatusCode, 200)
 	assert.Equal(t, a.runs(), 1)
@@ -143,10 +143,10 @@
 // TestOldVerdicts: a verdict from before a target's word that it leaves may come late to a
 // VM that hears nothing, as one that stood still or has a full link.
 func TestOldVerdicts(t *testing.T) {
-	bounds := Bounds{Propagation: 1750 * time.Millisecond, InFlight: 1250 * time.Millisecond}
+	bounds := DrainBounds{Propagation: 1750 * time.Millisecond, InFlight: 1250 * time.Millisecond}
 	for _, row := range []struct {
 		name     string
-		bounds   Bounds
+		bounds   DrainBounds
 		lag, age time.Duration
 		asked    int // how often for a verdict
 	}{
@@ -154,13 +154,13 @@
 		{"late, but this VM knows", bounds, 2 * time.Second, time.Second, 1},
 		{"the store is away", bounds, 100 * time.Millisecond, time.Minute, 1},
 		{"late, and this VM does not know", bounds, 2 * time.Second, 2 * time.Second, 2},
-		{"no bounds", Bounds{}, time.Minute, time.Minute, 1},
+		{"no bounds", DrainBounds{}, time.Minute, time.Minute, 1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			a := newBackend(t, "a")
 			a.handler = continues
 			x := resumableFixture(t, a)
-			x.gateway.cfg.Bounds = row.bounds
+			x.gateway.cfg.DrainBounds = row.bounds
 			x.directory.age = row.age
 			x.admission.targets = []*fleet.Target{a.target(), a.target()}
 			x.admission.lags = []time.Duration{row.lag}
--- a/internal/gateway/limited.go
+++ b/internal/gateway/limited.go
@@ -31,14 +31,14 @@
 // nil.
 func (x *exchange) checkRate(target string) error {
 	v := &x.verdict
-	if v.Rate.Stamp != 0 {
-		if x.g.cfg.Now().Sub(v.Decided) > grantLife {
+	if v.RateLimit.Stamp != 0 {
+		if x.g.cfg.Now().Sub(v.DecidedAt) > grantLife {
 			return errOldVerdict
 		}
 		return nil
 	}
 	limit := x.g.cfg.RateLimits.Limit(target)
-	if limit.Stamp != 0 && v.Decided.Before(limit.Since.Add(limitPropagation)) {
+	if limit.Stamp != 0 && v.DecidedAt.Before(limit.Since.Add(limitPropagation)) {
 		return errRateLimited
 	}
 	return nil
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -17,16 +17,16 @@
 	for _, row := range []struct {
 		name    string
 		known   ratelimit.Limit
-		verdict Verdict
+		verdict Decision
 		want    error
 	}{
-		{"no limit", ratelimit.Limit{}, Verdict{Decided: now.Add(-time.Hour)}, nil},
-		{"placed by the limit", limited, Verdict{Decided: now, Rate: limited}, nil},
-		{"placed by the limit, held up", limited, Verdict{Decided: now.Add(-2 * time.Second), Rate: limited}, errOldVerdict},
-		{"placed by a limit not known here, held up", ratelimit.Limit{}, Verdict{Decided: now.Add(-2 * time.Second), Rate: limited}, errOldVerdict},
-		{"placed before it", limited, Verdict{Decided: limited.Since.Add(-time.Second)}, errRateLimited},
-		{"placed before word of it arrived", limited, Verdict{Decided: limited.Since.Add(limitPropagation / 2)}, errRateLimited},
-		{"placed by a VM that knows that it ended", limited, Verdict{Decided: now}, nil},
+		{"no limit", ratelimit.Limit{}, Decision{DecidedAt: now.Add(-time.Hour)}, nil},
+		{"placed by the limit", limited, Decision{DecidedAt: now, RateLimit: limited}, nil},
+		{"placed by the limit, held up", limited, Decision{DecidedAt: now.Add(-2 * time.Second), RateLimit: limited}, errOldVerdict},
+		{"placed by a limit not known here, held up", ratelimit.Limit{}, Decision{DecidedAt: now.Add(-2 * time.Second), RateLimit: limited}, errOldVerdict},
+		{"placed before it", limited, Decision{DecidedAt: limited.Since.Add(-time.Second)}, errRateLimited},
+		{"placed before word of it arrived", limited, Decision{DecidedAt: limited.Since.Add(limitPropagation / 2)}, errRateLimited},
+		{"placed by a VM that knows that it ended", limited, Decision{DecidedAt: now}, nil},
 	} {
 		g := &Gateway{cfg: Config{Now: func() time.Time { return now }, RateLimits: knownLimits{"a": row.known}}}
 		x := &exchange{g: g, verdict: row.verdict}
@@ -51,13 +51,13 @@
 		assert.Equal(t, answer.StatusCode, 200)
 	}
 	assert.Equal(t, a.runs(), 0)
-	assert.DeepEqual(t, x.admission.asked[0].Limited, []string{"a"})
+	assert.DeepEqual(t, x.admission.asked[0].RateLimited, []string{"a"})
 }
 
 // TestAnswersOfUnknownRequestsHaveNoVerdict: they cannot end a limit.
 func TestAnswersOfUnknownRequestsHaveNoVerdict(t *testing.T) {
 	x := &exchange{}
-	for class, want := range map[fleet.Class]bool{fleet.Answered: true, fleet.Busy: true, fleet.Foreign: false, fleet.Misplaced: false} {
+	for class, want := range map[fleet.AnswerClass]bool{fleet.Answered: true, fleet.Busy: true, fleet.Mismatched: false, fleet.Misrouted: false} {
 		assert.Equal(t, x.verdictOf(class) != nil, want)
 	}
 }
--- a/internal/gateway/line_test.go
+++ b/internal/gateway/line_test.go
@@ -12,15 +12,15 @@
 )
 
 // plainVerdicts grants the backends one after the other, then refuses.
-func plainVerdicts(backends ...*backend) func(r *AdmitRequest) Verdict {
+func plainVerdicts(backends ...*backend) func(r *AdmitRequest) Decision {
 	next := 0
-	return func(r *AdmitRequest) Verdict {
+	return func(r *AdmitRequest) Decision {
 		if next >= len(backends) {
-			return Verdict{Reason: "line_too_long", RetryAfter: 150 * time.Millisecond}
+			return Decision{Reason: "line_too_long", RetryAfter: 150 * time.Millisecond}
 		}
 		b := backends[next]
 		next++
-		return Verdict{Service: r.Service, Ticket: uint64(next), From: "acting", Target: b.id, Address: b.target().Address}
+		return Decision{Service: r.Service, Ticket: uint64(next), DecidedBy: "acting", Target: b.id, Address: b.target().Address}
 	}
 }
 
@@ -75,7 +75,7 @@
 func TestSilentLineDoesNotStopPlainRequests(t *testing.T) {
 	b := newBackend(t, "a")
 	x := newFixture(t, b)
-	x.admission.plain = func(r *AdmitRequest) Verdict { return Verdict{Service: r.Service, Alone: true} }
+	x.admission.plain = func(r *AdmitRequest) Decision { return Decision{Service: r.Service, LocalChoice: true} }
 	answer, _ := x.send(t, "POST", "/once/x", "")
 	assert.Equal(t, answer.StatusCode, 200)
 	assert.Equal(t, len(x.admission.plainEndings), 0)
@@ -90,10 +90,10 @@
 	b := newBackend(t, "a")
 	b.handler = func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "x") }
 	x := newKeyedFixture(t, b)
-	team, _ := x.directory.dir.Config.Teams.Of(*digestOf("crew-key"))
-	team.Quota.PerSecond, team.Quota.Tokens, team.Quota.Plain = 100, true, 200
-	over := func(r *AdmitRequest) Verdict {
-		return Verdict{Service: r.Service, Reason: "quota", RetryAfter: 700 * time.Millisecond, OverQuota: true}
+	team, _ := x.directory.dir.Config.Teams.Lookup(*digestOf("crew-key"))
+	team.Quota.PerSecond, team.Quota.ChargeTokens, team.Quota.DefaultCost = 100, true, 200
+	over := func(r *AdmitRequest) Decision {
+		return Decision{Service: r.Service, Reason: "quota", RetryAfter: 700 * time.Millisecond, OverQuota: true}
 	}
 	x.admission.plain = over
 	answer, _ := x.send(t, "POST", "/once/x", "", "Key", "crew-key")
@@ -111,7 +111,7 @@
 	a, b := newBackend(t, "a"), newBackend(t, "b")
 	a.handler = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }
 	x := newKeyedFixture(t, a, b)
-	team, _ := x.directory.dir.Config.Teams.Of(*digestOf("crew-key"))
+	team, _ := x.directory.dir.Config.Teams.Lookup(*digestOf("crew-key"))
 	team.Quota.PerSecond = 100
 	x.admission.plain = plainVerdicts(a, b)
 	_, _ = x.send(t, "GET", "/again/x", "", "Key", "crew-key")
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -29,9 +29,9 @@
 	Orders *expvar.Map
 	// FirstEvent is the time from sending to the first event.
 	FirstEvent *Histogram
-	// VerdictLag is the time that questions to the scheduler and its verdicts were
+	// DecisionDelay is the time that questions to the scheduler and its verdicts were
 	// under way.
-	VerdictLag *Histogram
+	DecisionDelay *Histogram
 }
 
 // NewMetrics returns a fresh set.
@@ -39,7 +39,7 @@
 	m := &Metrics{
 		Map: new(expvar.Map).Init(), Ended: new(expvar.Map).Init(), NotRun: new(expvar.Map).Init(),
 		Withdrawn: new(expvar.Int), Resumed: new(expvar.Int), BudgetEmpty: new(expvar.Int), Dials: new(expvar.Int), StoreCalls: new(expvar.Map).Init(),
-		Orders: new(expvar.Map).Init(), FirstEvent: &Histogram{}, VerdictLag: &Histogram{},
+		Orders: new(expvar.Map).Init(), FirstEvent: &Histogram{}, DecisionDelay: &Histogram{},
 	}
 	m.Map.Set("requests_ended_total", m.Ended)
 	m.Map.Set("attempts_not_run_total", m.NotRun)
@@ -50,7 +50,7 @@
 	m.Map.Set("store_calls_total", m.StoreCalls)
 	m.Map.Set("engine_orders_total", m.Orders)
 	m.Map.Set("first_event_ms", m.FirstEvent)
-	m.Map.Set("verdict_lag_ms", m.VerdictLag)
+	m.Map.Set("verdict_lag_ms", m.DecisionDelay)
 	return m
 }
 
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -21,11 +21,11 @@
 		asked := x.g.cfg.Now()
 		v := x.g.cfg.Admission.Admit(x.ctx, &AdmitRequest{
 			Service: x.service.Name, Team: x.teamName(), Cost: x.cost(x.runs), Request: &x.req, Route: x.route,
-			Deadline: x.deadline, FirstBy: x.firstBy(asked), Age: x.age, Content: x.digest, Exclude: x.exclude,
-			Resting: x.g.resting(), Limited: x.g.cfg.RateLimits.Limited(),
+			Deadline: x.deadline, FirstEventDeadline: x.firstBy(asked), Age: x.age, Content: x.digest, Exclude: x.exclude,
+			BackedOff: x.g.resting(), RateLimited: x.g.cfg.RateLimits.Limited(),
 		})
-		x.line.Admit += x.g.cfg.Now().Sub(asked)
-		x.line.DecidedBy = v.From
+		x.line.AdmitTime += x.g.cfg.Now().Sub(asked)
+		x.line.DecidedBy = v.DecidedBy
 		if x.callerLeft() {
 			x.g.cfg.Admission.Done(v, scheduler.EndedAbandoned)
 			x.end("abandoned", 0, "caller_left", nil)
@@ -35,25 +35,25 @@
 			x.giveUp(v, v.Reason)
 			return
 		}
-		if x.line.Sends > 0 && !x.mayRetry() {
+		if x.line.Attempts > 0 && !x.mayRetry() {
 			x.g.cfg.Admission.Done(v, scheduler.EndedAbandoned)
-			x.giveUp(Verdict{RetryAfter: busyPause}, "not_run")
+			x.giveUp(Decision{RetryAfter: busyPause}, "not_run")
 			return
 		}
 		if !x.tryModel(v) {
 			return
 		}
 		if attempts >= maxAttempts {
-			x.giveUp(Verdict{RetryAfter: busyPause}, "not_run")
+			x.giveUp(Decision{RetryAfter: busyPause}, "not_run")
 			return
 		}
 	}
 }
 
 // acceptVerdict takes a verdict to act on.
-func (x *exchange) acceptVerdict(v Verdict) {
+func (x *exchange) acceptVerdict(v Decision) {
 	x.verdict = v
-	x.line.Sent = events.Sent{Placed: v.Placed, VerdictLag: v.Lag, RateLimit: v.Rate.PerSecond}
+	x.line.Sent = events.SendInfo{PlacementCopy: v.StoreCopy, DecisionDelay: v.NetworkDelay, RateLimit: v.RateLimit.PerSecond}
 }
 
 // firstBy returns when the caller leaves if no event comes. A caller that has a part of the
@@ -63,7 +63,7 @@
 	if x.stream.head != nil {
 		since = now
 	}
-	if p := x.route.Patience; p > 0 && since.Add(p).Before(x.deadline) {
+	if p := x.route.IdleTimeout; p > 0 && since.Add(p).Before(x.deadline) {
 		return since.Add(p)
 	}
 	return x.deadline
@@ -71,7 +71,7 @@
 
 // tryModel makes one attempt. It returns true if the request was not run and
 // nothing was answered.
-func (x *exchange) tryModel(v Verdict) (again bool) {
+func (x *exchange) tryModel(v Decision) (again bool) {
 	sent := x.g.cfg.Now()
 	x.acceptVerdict(v)
 	answer, err := x.send(x.ctx, destination{
@@ -86,32 +86,32 @@
 	case fleet.Busy:
 		x.modelNotRun(v, scheduler.EndedBusy, answer.Status, nil)
 		return true
-	case fleet.Misplaced:
-		x.modelNotRun(v, scheduler.EndedMisplaced, answer.Status, nil)
+	case fleet.Misrouted:
+		x.modelNotRun(v, scheduler.EndedMisrouted, answer.Status, nil)
 		return true
 	}
 	return x.relayModel(v, answer, sent)
 }
 
-func (x *exchange) modelNotRun(v Verdict, how scheduler.Ending, status int, err error) {
+func (x *exchange) modelNotRun(v Decision, how scheduler.Ending, status int, err error) {
 	x.g.cfg.Metrics.NotRun.Add(how.String(), 1)
 	x.attemptEnded(v, how, status, err)
 }
 
 // attemptEnded tells and logs the end of an attempt after which another one may follow,
 // elsewhere unless nothing is held against the target.
-func (x *exchange) attemptEnded(v Verdict, how scheduler.Ending, status int, err error) {
+func (x *exchange) attemptEnded(v Decision, how scheduler.Ending, status int, err error) {
 	if !errors.Is(err, errOldVerdict) {
 		x.exclude = append(x.exclude, v.Target)
 	}
 	x.g.cfg.Admission.Done(v, how)
 	x.g.cfg.Log.AttemptFailed(events.Attempt{
-		ID: x.req.ID, Target: v.Target, DecidedBy: v.From, Adapter: x.req.Adapter.String(),
+		ID: x.req.ID, Target: v.Target, DecidedBy: v.DecidedBy, Adapter: x.req.Adapter.String(),
 		Class: how.String(), Status: status, Sent: x.line.Sent, Err: err,
 	})
 }
 
-func (x *exchange) modelFailed(v Verdict, err error) (again bool) {
+func (x *exchange) modelFailed(v Decision, err error) (again bool) {
 	switch {
 	case x.callerLeft():
 		x.g.cfg.Admission.Done(v, scheduler.EndedAbandoned)
@@ -144,7 +144,7 @@
 // failure tells an end of a target's connection from its other failures.
 func (x *exchange) failure(err error) scheduler.Ending {
 	if x.brokeOff(err) {
-		return scheduler.EndedBroke
+		return scheduler.EndedDisconnected
 	}
 	return scheduler.EndedFailed
 }
@@ -159,7 +159,7 @@
 
 // relayModel returns the target's answer. It returns true if another target is to go on
 // with it.
-func (x *exchange) relayModel(v Verdict, answer *hop.Answer, sent time.Time) (again bool) {
+func (x *exchange) relayModel(v Decision, answer *hop.Answer, sent time.Time) (again bool) {
 	if x.stream.head != nil && !x.goesOn(answer) {
 		return x.modelFailed(v, errOther)
 	}
@@ -199,21 +199,21 @@
 
 // firstEvent reads the first bytes of a stream. A stream that goes on after its last event
 // has none.
-func (x *exchange) firstEvent(v Verdict, answer *hop.Answer, sent time.Time) (prefix []byte, err error) {
+func (x *exchange) firstEvent(v Decision, answer *hop.Answer, sent time.Time) (prefix []byte, err error) {
 	buffer := make([]byte, 512)
 	n, err := answer.Read(buffer)
 	nothingLeft := err == io.EOF && x.stream.head != nil
 	if n == 0 && err != nil && !nothingLeft {
 		return nil, errors.Wrap(err, "read first event")
 	}
-	x.g.cfg.Admission.First(v)
-	x.line.First = x.g.cfg.Now().Sub(sent)
-	x.g.cfg.Metrics.FirstEvent.Observe(x.line.First)
+	x.g.cfg.Admission.FirstEvent(v)
+	x.line.FirstEventTime = x.g.cfg.Now().Sub(sent)
+	x.g.cfg.Metrics.FirstEvent.Observe(x.line.FirstEventTime)
 	return buffer[:n], nil
 }
 
 // relayModelWhole returns an answer that is no stream.
-func (x *exchange) relayModelWhole(v Verdict, answer *hop.Answer) (again bool) {
+func (x *exchange) relayModelWhole(v Decision, answer *hop.Answer) (again bool) {
 	body, whole, err := readWhole(answer)
 	if err != nil {
 		return x.modelFailed(v, err)
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -42,7 +42,7 @@
 				x := newFixture(t, b)
 				x.admission.targets = append(x.admission.targets, b.target())
 				var heard atomic.Int64
-				x.gateway.cfg.Heard = func(target string, said fleet.Notice, _ *Verdict) {
+				x.gateway.cfg.OnNotice = func(target string, said fleet.Notice, _ *Decision) {
 					if said.Leaving && target == "a" {
 						heard.Add(1)
 					}
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -27,7 +27,7 @@
 	answer *hop.Answer
 	body   []byte
 	whole  bool
-	class  fleet.Class
+	class  fleet.AnswerClass
 	// sent says that the request may have run.
 	sent bool
 	err  error
@@ -51,14 +51,14 @@
 	var exclude []string
 	runs := 0
 	var last *attempt
-	var refusal Verdict
+	var refusal Decision
 	for len(exclude) < maxAttempts && x.ctx.Err() == nil {
 		v := x.pickPlain(exclude, runs)
 		if v.Target == "" {
 			refusal = v
 			break
 		}
-		if x.line.Sends > 0 && !x.mayRetry() {
+		if x.line.Attempts > 0 && !x.mayRetry() {
 			x.learnPlain(v, balance.Abandoned, 0)
 			break
 		}
@@ -79,38 +79,38 @@
 
 // pickPlain returns a target, or why there is none: as the VM says that is asked, or as this
 // one chooses where that is silent.
-func (x *exchange) pickPlain(exclude []string, runs int) Verdict {
+func (x *exchange) pickPlain(exclude []string, runs int) Decision {
 	asked := x.g.cfg.Now()
 	r := &AdmitRequest{
 		Service: x.service.Name, Plain: true, Team: x.teamName(), Cost: x.cost(runs), Request: &x.req, Route: x.route,
-		Deadline: x.deadline, Content: x.digest, Exclude: exclude, Resting: x.g.resting(),
-		Limited: x.g.cfg.RateLimits.Limited(),
+		Deadline: x.deadline, Content: x.digest, Exclude: exclude, BackedOff: x.g.resting(),
+		RateLimited: x.g.cfg.RateLimits.Limited(),
 	}
-	if x.route.Objective > 0 {
-		r.FirstBy = x.began.Add(x.route.Objective - x.age)
+	if x.route.LatencyObjective > 0 {
+		r.FirstEventDeadline = x.began.Add(x.route.LatencyObjective - x.age)
 	}
 	v := x.g.cfg.Admission.Admit(x.ctx, r)
-	x.line.Admit += x.g.cfg.Now().Sub(asked)
-	x.line.DecidedBy = v.From
-	if v.Alone {
-		x.pickAlone(&v, slices.Concat(exclude, r.Resting, r.Limited))
+	x.line.AdmitTime += x.g.cfg.Now().Sub(asked)
+	x.line.DecidedBy = v.DecidedBy
+	if v.LocalChoice {
+		x.pickAlone(&v, slices.Concat(exclude, r.BackedOff, r.RateLimited))
 	}
-	if v.Alone && v.Target != "" {
-		x.g.cfg.Admission.Chosen(r, v)
+	if v.LocalChoice && v.Target != "" {
+		x.g.cfg.Admission.ChosenLocally(r, v)
 	}
 	return v
 }
 
 // pickAlone chooses by what this VM's own requests showed.
-func (x *exchange) pickAlone(v *Verdict, exclude []string) {
+func (x *exchange) pickAlone(v *Decision, exclude []string) {
 	dir := x.g.cfg.Directory.Directory()
 	var candidates []balance.Target
-	for _, t := range dir.Of(x.service.Name) {
+	for _, t := range dir.TargetsOf(x.service.Name) {
 		if t.State == fleet.TargetReady {
-			candidates = append(candidates, balance.Target{ID: t.ID, Near: t.Zone == x.g.cfg.Zone})
+			candidates = append(candidates, balance.Target{ID: t.ID, SameZone: t.Zone == x.g.cfg.Zone})
 		}
 	}
-	v.From, v.Placed = x.g.cfg.VM, x.copyOfStore()
+	v.DecidedBy, v.StoreCopy = x.g.cfg.VM, x.copyOfStore()
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
 	if v.Target = x.g.balancer.Pick(x.g.cfg.Now(), candidates, exclude); v.Target == "" {
@@ -122,22 +122,22 @@
 
 // learnPlain takes the end of an attempt: for the VM that chose the target, and for this one's
 // own choices.
-func (x *exchange) learnPlain(v Verdict, how balance.Ending, took time.Duration) {
+func (x *exchange) learnPlain(v Decision, how balance.Ending, took time.Duration) {
 	x.g.cfg.Admission.DonePlain(v, how, took)
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	if !v.Alone {
-		x.g.balancer.Seen(x.g.cfg.Now(), v.Target, how, took)
+	if !v.LocalChoice {
+		x.g.balancer.ObserveRemote(x.g.cfg.Now(), v.Target, how, took)
 		return
 	}
 	x.g.balancer.Done(x.g.cfg.Now(), v.Target, how, took)
 }
 
 // tryPlain makes one attempt and reads the answer whole if it is short.
-func (x *exchange) tryPlain(v Verdict, runs int) *attempt {
+func (x *exchange) tryPlain(v Decision, runs int) *attempt {
 	limit := x.left()
 	if x.mayRunAgain(runs + 1) {
-		limit = min(limit, time.Duration(hangShare*float64(x.route.Objective)))
+		limit = min(limit, time.Duration(hangShare*float64(x.route.LatencyObjective)))
 	}
 	ctx, cancel := context.WithTimeout(x.ctx, limit)
 	began := x.g.cfg.Now()
@@ -159,8 +159,8 @@
 	return a
 }
 
-func (x *exchange) logPlain(v Verdict, how balance.Ending, a *attempt, took time.Duration) {
-	line := events.Attempt{ID: x.req.ID, Target: v.Target, DecidedBy: v.From, Class: how.String(), Took: took, Sent: x.line.Sent, Err: a.err}
+func (x *exchange) logPlain(v Decision, how balance.Ending, a *attempt, took time.Duration) {
+	line := events.Attempt{ID: x.req.ID, Target: v.Target, DecidedBy: v.DecidedBy, Class: how.String(), Took: took, Sent: x.line.Sent, Err: a.err}
 	if a.answer != nil {
 		line.Status = a.answer.Status
 	}
@@ -169,7 +169,7 @@
 
 // mayRunAgain reports whether the request may run once more after so many runs.
 func (x *exchange) mayRunAgain(runs int) bool {
-	return x.route.Kind == fleet.Idempotent && runs < x.route.MaxAttempts && x.route.Objective > 0
+	return x.route.Kind == fleet.Idempotent && runs < x.route.MaxAttempts && x.route.LatencyObjective > 0
 }
 
 func (x *exchange) plainEnding(ctx context.Context, a *attempt) balance.Ending {
@@ -183,14 +183,14 @@
 	case !a.sent:
 		return balance.Unreachable
 	case a.err != nil && ctx.Err() != nil:
-		return balance.Hung
+		return balance.TimedOut
 	case a.err != nil && x.brokeOff(a.err):
-		return balance.Broke
+		return balance.Disconnected
 	case a.err != nil:
 		return balance.Failed
 	case a.class == fleet.Busy:
 		return balance.Busy
-	case a.class == fleet.Misplaced:
+	case a.class == fleet.Misrouted:
 		return balance.Unreachable
 	case a.answer.Status >= http.StatusInternalServerError:
 		return balance.Failed
@@ -213,7 +213,7 @@
 
 // finishPlain answers with the last attempt. A request of which an earlier attempt
 // may have run is not refused.
-func (x *exchange) finishPlain(a *attempt, runs int, refusal Verdict) {
+func (x *exchange) finishPlain(a *attempt, runs int, refusal Decision) {
 	if a != nil {
 		defer a.close()
 	}
@@ -224,9 +224,9 @@
 	case a == nil && refusal.Reason != "":
 		x.refuseAs(refusal, refusal.Reason)
 	case a == nil:
-		x.refuseAs(Verdict{RetryAfter: noTargetPause}, "no_target")
+		x.refuseAs(Decision{RetryAfter: noTargetPause}, "no_target")
 	case !a.ran() && runs == 0:
-		x.refuseAs(Verdict{RetryAfter: max(busyPause, refusal.RetryAfter)}, "not_run")
+		x.refuseAs(Decision{RetryAfter: max(busyPause, refusal.RetryAfter)}, "not_run")
 	case !a.ran():
 		x.fail("not_run_again", a.err)
 	case a.err != nil:
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -28,31 +28,31 @@
 
 // send sends the request to one target. The context bounds the whole attempt.
 func (x *exchange) send(ctx context.Context, d destination) (*hop.Answer, error) {
-	x.line.Sends++
+	x.line.Attempts++
 	x.line.Target = d.target
 	h := x.header.Clone()
 	left := x.left()
 	began := x.g.cfg.Now()
-	x.g.cfg.Codec.Encode(h, fleet.Call{
-		Target: d.target, Left: left, Priority: d.priority, AdapterVersion: d.adapterVersion, After: d.after, Team: x.teamName(),
+	x.g.cfg.Codec.Encode(h, fleet.CallMetadata{
+		Target: d.target, Remaining: left, Priority: d.priority, AdapterVersion: d.adapterVersion, LastEventID: d.after, Team: x.teamName(),
 	})
 	return x.g.cfg.Pool.Do(ctx, &hop.Request{
 		Key: d.target, Address: d.address, MaxConns: x.connectionShare(),
 		Method: x.r.Method, Path: x.target, Host: x.r.Host, Header: h, Body: x.body,
-		AckWithin: x.g.cfg.Bounds.InFlight,
-		Check:     func() error { return x.beforeSending(d.target, x.g.cfg.Now().Sub(began)) },
-		Mine: func(status int, h http.Header) bool {
+		AckTimeout: x.g.cfg.DrainBounds.InFlight,
+		BeforeSend: func() error { return x.beforeSending(d.target, x.g.cfg.Now().Sub(began)) },
+		Matches: func(status int, h http.Header) bool {
 			said, class := x.g.cfg.Codec.Notice(status, h), x.g.cfg.Codec.Classify(x.req.ID, status, h)
-			x.g.cfg.Heard(d.target, said, x.verdictOf(class))
-			return class != fleet.Foreign
+			x.g.cfg.OnNotice(d.target, said, x.verdictOf(class))
+			return class != fleet.Mismatched
 		},
 	})
 }
 
 // verdictOf returns the verdict on which the request was sent that got an answer of this class; nil: the
 // answer is to another request, or perhaps of another process.
-func (x *exchange) verdictOf(class fleet.Class) *Verdict {
-	if class == fleet.Foreign || class == fleet.Misplaced {
+func (x *exchange) verdictOf(class fleet.AnswerClass) *Decision {
+	if class == fleet.Mismatched || class == fleet.Misrouted {
 		return nil
 	}
 	return &x.verdict
@@ -98,7 +98,7 @@
 // copyHeader passes an answer's headers on, but those of its connection.
 func (x *exchange) copyHeader(a *hop.Answer) {
 	out := x.w.Header()
-	for name, values := range x.g.cfg.Codec.Return(a.Header) {
+	for name, values := range x.g.cfg.Codec.ForwardResponse(a.Header) {
 		out[name] = values
 	}
 	if _, set := out["Content-Type"]; !set {
--- a/internal/gateway/resting_test.go
+++ b/internal/gateway/resting_test.go
@@ -19,7 +19,7 @@
 // TestRestBeginsWhileARequestIsUnderWay: it is placed anew, and counts for no retry.
 func TestRestBeginsWhileARequestIsUnderWay(t *testing.T) {
 	placedAnew(t, func(x *fixture) {
-		x.gateway.cfg.Pool = hop.New(func() { x.gateway.AskRest("a", time.Minute) })
+		x.gateway.cfg.Pool = hop.New(func() { x.gateway.RecordBackoff("a", time.Minute) })
 	})
 }
 
@@ -52,7 +52,7 @@
 	}
 	assert.Equal(t, a.runs(), 1)
 	last := x.admission.asked[len(x.admission.asked)-1]
-	assert.DeepEqual(t, last.Resting, []string{"a"})
+	assert.DeepEqual(t, last.BackedOff, []string{"a"})
 }
 
 // TestCallersComeBackWhileAllTargetsRest: the time of the first that wakes goes before a shorter one.
@@ -69,7 +69,7 @@
 			x := newFixture(t, newBackend(t, "a"), newBackend(t, "b"))
 			x.admission.plain = plainVerdicts()
 			for target, rest := range row.rest {
-				x.gateway.AskRest(target, rest)
+				x.gateway.RecordBackoff(target, rest)
 			}
 			answer, _ := x.send(t, "POST", "/once/x", "")
 			assert.Equal(t, answer.StatusCode, 503)
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -78,11 +78,11 @@
 
 // goesOn reports whether an answer continues the one that the caller has the begin of.
 func (x *exchange) goesOn(a *hop.Answer) bool {
-	return a.Status == http.StatusOK && isEventStream(a.Header) && x.g.cfg.Codec.Continues(x.stream.head, a.Header)
+	return a.Status == http.StatusOK && isEventStream(a.Header) && x.g.cfg.Codec.CanResume(x.stream.head, a.Header)
 }
 
 // resumes ends an attempt after which another target is to go on.
-func (x *exchange) resumes(v Verdict, err error) {
+func (x *exchange) resumes(v Decision, err error) {
 	x.stream.rest = nil
 	x.g.cfg.Metrics.Resumed.Add(1)
 	x.attemptEnded(v, x.failure(err), 0, err)
@@ -90,7 +90,7 @@
 
 // giveUp ends a request for which no further attempt is made: it is refused if it has
 // certainly not run, and cut if the caller has a part of the answer.
-func (x *exchange) giveUp(v Verdict, reason string) {
+func (x *exchange) giveUp(v Decision, reason string) {
 	switch {
 	case x.stream.head != nil:
 		x.end("cut", http.StatusOK, reason, nil)
--- a/internal/gateway/resume_test.go
+++ b/internal/gateway/resume_test.go
@@ -70,7 +70,7 @@
 			answer, body := x.send(t, "POST", "/stream/x", "prompt")
 			assert.Equal(t, answer.StatusCode, 200)
 			assert.Equal(t, body, allEvents)
-			assert.DeepEqual(t, x.admission.ended(), []scheduler.Ending{scheduler.EndedBroke, scheduler.EndedOK})
+			assert.DeepEqual(t, x.admission.ended(), []scheduler.Ending{scheduler.EndedDisconnected, scheduler.EndedOK})
 		})
 	}
 }
@@ -126,12 +126,12 @@
 	b.handler = continues
 	x := resumableFixture(t, a, b)
 	for i := range x.directory.dir.Config.Routes {
-		x.directory.dir.Config.Routes[i].Patience = patience
+		x.directory.dir.Config.Routes[i].IdleTimeout = patience
 	}
 	began := time.Now()
 	answer, _ := x.send(t, "POST", "/stream/x", "prompt")
 	assert.Equal(t, answer.StatusCode, 200)
-	first, second := x.admission.asked[0].FirstBy, x.admission.asked[1].FirstBy
+	first, second := x.admission.asked[0].FirstEventDeadline, x.admission.asked[1].FirstEventDeadline
 	assert.Assert(t, !first.Before(began.Add(patience)) && first.Before(second))
 }
 
--- a/internal/hop/answer.go
+++ b/internal/hop/answer.go
@@ -73,7 +73,7 @@
 		if answer.StatusCode < http.StatusOK {
 			continue // informational
 		}
-		if r.Mine(answer.StatusCode, answer.Header) {
+		if r.Matches(answer.StatusCode, answer.Header) {
 			a.take(answer)
 			return nil
 		}
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -26,7 +26,7 @@
 	ErrUnreachable = errors.New("the target cannot be reached")
 	// ErrNoConnection: all of the caller's share of connections is in use.
 	ErrNoConnection = errors.New("no connection to the target is free")
-	// ErrWithdrawn: Request.Check did not let the request go.
+	// ErrWithdrawn: Request.BeforeSend did not let the request go.
 	ErrWithdrawn = errors.New("the request was withdrawn before it was sent")
 )
 
@@ -72,23 +72,23 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Check is asked once a connection is at hand, just before anything is sent on it: a
+	// BeforeSend is asked once a connection is at hand, just before anything is sent on it: a
 	// new connection may take dialTimeout. An error of it is returned as ErrWithdrawn.
-	Check func() error
-	// AckWithin is how long the request's bytes may go unacknowledged; 0: unacknowledged.
+	BeforeSend func() error
+	// AckTimeout is how long the request's bytes may go unacknowledged; 0: unacknowledged.
 	// A link that held them back for longer would deliver them to a target that may have
 	// been leaving for long by then: its word and this time together are to stay within
 	// the time in which a leaving target must be left alone.
-	AckWithin time.Duration
-	// Mine reports whether an answer is to this request.
-	Mine func(status int, h http.Header) bool
+	AckTimeout time.Duration
+	// Matches reports whether an answer is to this request.
+	Matches func(status int, h http.Header) bool
 }
 
 func (r *Request) check() error {
-	if r.Check == nil {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	if err := r.Check(); err != nil {
+	if err := r.BeforeSend(); err != nil {
 		return errors.Mark(err, ErrWithdrawn)
 	}
 	return nil
@@ -105,7 +105,7 @@
 		p.keepUnused(c)
 		return nil, err
 	}
-	a := &Answer{pool: p, conn: c, relax: p.limitAck(c, r.AckWithin)}
+	a := &Answer{pool: p, conn: c, relax: p.limitAck(c, r.AckTimeout)}
 	a.stop = context.AfterFunc(ctx, func() { p.abandon(c) })
 	if err := a.send(r); err != nil {
 		a.Close()
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -83,7 +83,7 @@
 	return &Request{
 		Key: "t", Address: x.listener.Addr().String(), Method: "POST", Path: "/a%2Fb?c=d", Host: "h",
 		Header: http.Header{"Id": {id}}, Body: []byte(body),
-		Mine: func(_ int, h http.Header) bool { return h.Get("Id") == id },
+		Matches: func(_ int, h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
@@ -323,12 +323,12 @@
 	})
 	p := New(nil)
 	withdrawn := request(x, "1", "first")
-	withdrawn.Check = func() error { return errors.New("no longer") }
+	withdrawn.BeforeSend = func() error { return errors.New("no longer") }
 	_, err := do(t, p, withdrawn)
 	assert.Assert(t, errors.Is(err, ErrWithdrawn) && NotSent(err), "%v", err)
 	assert.ErrorContains(t, err, "no longer")
 	allowed := request(x, "2", "second")
-	allowed.Check = func() error { return nil }
+	allowed.BeforeSend = func() error { return nil }
 	body, err := do(t, p, allowed)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "second")
@@ -387,7 +387,7 @@
 		return time.AfterFunc(time.Hour, f)
 	}
 	r := request(x, "1", "a")
-	r.AckWithin = within
+	r.AckTimeout = within
 	a, err := p.Do(t.Context(), r)
 	assert.NilError(t, err)
 	assert.Equal(t, userTimeout(t, a.conn.Conn), within)
@@ -397,7 +397,7 @@
 	assert.NilError(t, err)
 	a.Close()
 	for _, longer := range []time.Duration{0, unacknowledged} {
-		r.AckWithin = longer
+		r.AckTimeout = longer
 		a, err = p.Do(t.Context(), r)
 		assert.NilError(t, err)
 		assert.Equal(t, userTimeout(t, a.conn.Conn), unacknowledged)
@@ -413,10 +413,10 @@
 	x := newTarget(t, echo)
 	p := New(nil)
 	r := request(x, "1", "a")
-	r.AckWithin = time.Second
+	r.AckTimeout = time.Second
 	_, err := do(t, p, r)
 	assert.NilError(t, err)
-	r.AckWithin = 0
+	r.AckTimeout = 0
 	a, err := p.Do(t.Context(), r)
 	assert.NilError(t, err)
 	assert.Equal(t, userTimeout(t, a.conn.Conn), unacknowledged)
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -15,7 +15,7 @@
 func Decode(s *Section, into protoreflect.Message, fs *findings.List) {
 	fields := into.Descriptor().Fields()
 	for _, k := range s.Keys {
-		place := s.Place.WithKey(k.Name, k.Line)
+		place := s.Position.WithKey(k.Name, k.Line)
 		f := fields.ByName(protoreflect.Name(k.Name))
 		if f == nil {
 			fs.Add(place, "unknown key%s", Suggest(k.Name, fieldNames(fields)))
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -17,10 +17,10 @@
 // Section is one section of a file, such as [adapter "plough-notes"].
 type Section struct {
 	// Kind is the first word of the header, Label the quoted rest.
-	Kind  string
-	Label string
-	Place findings.Place
-	Keys  []Key
+	Kind     string
+	Label    string
+	Position findings.Position
+	Keys     []Key
 }
 
 // Key is one key of a section.
@@ -30,27 +30,27 @@
 	Line  int
 }
 
-// PlaceOf returns the place of a key, or the section's own when it is missing.
-func (s *Section) PlaceOf(key string) findings.Place {
+// PositionOf returns the place of a key, or the section's own when it is missing.
+func (s *Section) PositionOf(key string) findings.Position {
 	for _, k := range s.Keys {
 		if k.Name == key {
-			return s.Place.WithKey(key, k.Line)
+			return s.Position.WithKey(key, k.Line)
 		}
 	}
-	return s.Place.WithKey(key, 0)
+	return s.Position.WithKey(key, 0)
 }
 
 // Parse reads a file's sections in order. What cannot be read becomes a
 // finding; the rest is returned all the same.
 func Parse(file string, data []byte, fs *findings.List) []Section {
 	if len(data) > MaxBytes {
-		fs.Add(findings.Place{File: file}, "the file has %d bytes; at most %d are read", len(data), MaxBytes)
+		fs.Add(findings.Position{File: file}, "the file has %d bytes; at most %d are read", len(data), MaxBytes)
 		return nil
 	}
 	marks := scan(file, data, fs)
 	parsed, err := ini.LoadSources(loadOptions, data)
 	if err != nil {
-		fs.Add(findings.Place{File: file}, "cannot be read: %v", err)
+		fs.Add(findings.Position{File: file}, "cannot be read: %v", err)
 		return nil
 	}
 	return join(file, parsed.Sections(), marks, fs)
@@ -89,7 +89,7 @@
 
 func (m *mark) addKey(file string, line int, text string, fs *findings.List) {
 	name, _, ok := strings.Cut(text, "=")
-	place := findings.Place{File: file, Line: line}
+	place := findings.Position{File: file, Line: line}
 	if !ok {
 		fs.Add(place, "neither a [section] nor a key = value")
 		return
@@ -105,7 +105,7 @@
 // join pairs the library's sections with their lines. Both are in file order.
 func join(file string, sections []*ini.Section, marks []mark, fs *findings.List) []Section {
 	if len(sections) != len(marks) {
-		fs.Add(findings.Place{File: file}, "a section header is malformed: %d headers, %d sections", len(marks)-1, len(sections)-1)
+		fs.Add(findings.Position{File: file}, "a section header is malformed: %d headers, %d sections", len(marks)-1, len(sections)-1)
 		return nil
 	}
 	out := make([]Section, 0, len(sections))
@@ -121,16 +121,16 @@
 
 func refuseLoose(file string, s *ini.Section, m mark, fs *findings.List) {
 	for _, k := range s.Keys() {
-		fs.Add(findings.Place{File: file, Line: m.keys[k.Name()], Key: k.Name()}, "stands before the first section")
+		fs.Add(findings.Position{File: file, Line: m.keys[k.Name()], Key: k.Name()}, "stands before the first section")
 	}
 }
 
 func section(file string, s *ini.Section, m mark) Section {
 	kind, label, _ := strings.Cut(s.Name(), " ")
 	out := Section{
-		Kind:  kind,
-		Label: strings.Trim(strings.TrimSpace(label), `"`),
-		Place: findings.Place{File: file, Line: m.line, Section: s.Name()},
+		Kind:     kind,
+		Label:    strings.Trim(strings.TrimSpace(label), `"`),
+		Position: findings.Position{File: file, Line: m.line, Section: s.Name()},
 	}
 	for _, k := range s.Keys() {
 		out.Keys = append(out.Keys, Key{Name: k.Name(), Value: k.Value(), Line: m.keys[k.Name()]})
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -92,15 +92,15 @@
 	b.share = share
 }
 
-// First counts a first attempt.
-func (b *RetryBudget) First() {
+// Deposit counts a first attempt.
+func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.credit = min(b.credit+b.share, reserve)
 }
 
-// Retry takes one retry from the budget; false means that there is none.
-func (b *RetryBudget) Retry() bool {
+// TryWithdraw takes one retry from the budget; false means that there is none.
+func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.credit < 1 {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -61,8 +61,8 @@
 	b := NewRetryBudget(0.1)
 	retries := 0
 	for range 1000 {
-		b.First()
-		if b.Retry() {
+		b.Deposit()
+		if b.TryWithdraw() {
 			retries++
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,12 +48,12 @@
 	mesh    *peer.Mesh
 	sync    *confsync.Sync
 	records *records.Store
-	turns   *permits.Turns
+	turns   *permits.Coordinator
 	owner   *owner.Owner
 	router  *router.Router
 	limits  *limits.Limiter
 	retries *limits.RetryBudget
-	door    *entry.Door
+	door    *entry.Server
 
 	doorListener, peerListener, opsListener net.Listener
 
@@ -79,14 +79,14 @@
 	dialTimeout    = 2 * time.Second
 )
 
-// Dial opens a connection to another VM's peer listener.
-type Dial func(ctx context.Context, address string) (net.Conn, error)
+// DialFunc opens a connection to another VM's peer listener.
+type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 // New opens the listeners and puts the parts together.
 func New(s *schema.Settings, l log.Interface) (*Node, error) { return NewWithDial(s, l, nil) }
 
 // NewWithDial is New with another way to reach other VMs; nil means TCP.
-func NewWithDial(s *schema.Settings, l log.Interface, dial Dial) (*Node, error) {
+func NewWithDial(s *schema.Settings, l log.Interface, dial DialFunc) (*Node, error) {
 	n := &Node{
 		settings: s, log: l, now: time.Now, incarnation: uint64(time.Now().UnixNano()),
 		killed:  make(chan struct{}),
@@ -107,7 +107,7 @@
 }
 
 // connect builds what talks to others.
-func (n *Node) connect(self coord.VMID, dial Dial) error {
+func (n *Node) connect(self coord.VMID, dial DialFunc) error {
 	tlsConfig, err := peer.TLSFromSettings(n.settings.Peer)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 		return err
 	}
 	n.mesh = peer.New(peer.Config{
-		Self: self, Hall: n.settings.Vm.Hall, Incarnation: n.incarnation, TLS: tlsConfig, DialTimeout: dialTimeout, Dial: dial,
+		Self: self, Zone: n.settings.Vm.Hall, Incarnation: n.incarnation, TLS: tlsConfig, DialTimeout: dialTimeout, Dial: dial,
 	}, (*peerHandler)(n), n.view.address)
 	transport := newTransport()
 	n.sync = n.newSync(trust, transport)
@@ -125,9 +125,9 @@
 		Self: self, Incarnation: n.incarnation, Peers: n.mesh, Lists: n.sync, Now: n.now,
 		Limits: outcome.Config{Retention: firstRetention, MaxBytes: firstBytes},
 	})
-	n.turns = &permits.Turns{
-		Self: self, Local: permits.NewGiver(firstLoadRate, n.now), Share: permits.NewGiver(firstLoadRate, n.now),
-		Peers: n.mesh, Giver: n.giver,
+	n.turns = &permits.Coordinator{
+		Self: self, Local: permits.NewIssuer(firstLoadRate, n.now), Fallback: permits.NewIssuer(firstLoadRate, n.now),
+		Peers: n.mesh, IssuerVM: n.giver,
 	}
 	n.owner = n.newOwner(self, transport)
 	n.door = n.newDoor(transport)
@@ -136,25 +136,25 @@
 
 func (n *Node) newSync(trust bundle.Trust, transport http.RoundTripper) *confsync.Sync {
 	p := n.settings.Platform
-	counted := func() { n.metrics.ServiceReads.Add(1) }
+	counted := func() { n.metrics.PlatformReads.Add(1) }
 	return confsync.New(confsync.Config{
 		Platform: platform.NewClient(p.ConfigUrl, p.VmListUrl, transport, counted),
 		Peers:    n.mesh, Trust: trust, Seeds: p.Seeds, Seed: n.incarnation, Log: n.log,
 		ListPoll: time.Duration(p.VmListPollMs) * time.Millisecond,
 		Watch:    time.Duration(p.WatchMs) * time.Millisecond,
-		OnBundle: n.onBundle, OnList: n.onList, OnRefused: n.onRefused, Beat: n.heartbeat,
+		OnBundle: n.onBundle, OnList: n.onList, OnRejected: n.onRefused, Heartbeat: n.heartbeat,
 	}, n.view)
 }
 
 func (n *Node) newOwner(self coord.VMID, transport http.RoundTripper) *owner.Owner {
 	return owner.New(owner.Config{
-		Self: self, Incarnation: n.incarnation, Tie: tieOf(n.settings.Vm.Id), Transport: transport,
-		OrderToken: n.settings.Platform.OrderToken, Turns: n.turns, Releases: n,
+		Self: self, Incarnation: n.incarnation, TieBreaker: tieOf(n.settings.Vm.Id), Transport: transport,
+		OrderToken: n.settings.Platform.OrderToken, Permits: n.turns, Releases: n,
 		Log: n.log, Audit: n.audit, Metrics: n.metrics, Now: n.now,
 	})
 }
 
-func (n *Node) newDoor(transport http.RoundTripper) *entry.Door {
+func (n *Node) newDoor(transport http.RoundTripper) *entry.Server {
 	return entry.New(entry.Config{
 		Settings: n.settings.Door, Router: n.router, Records: n.records, Limits: n.limits, Retries: n.retries,
 		Owner: n.executor, Transport: transport, Alive: n.view.alive, Ready: n.Ready,
@@ -250,7 +250,7 @@
 	})
 	n.retries.SetShare(b.Limits.GetRetryShare())
 	n.turns.Local.SetRate(b.Limits.GetLoadsPerSecond())
-	n.audit.Note(n.now(), audit.Change{
+	n.audit.Record(n.now(), audit.Change{
 		Actor: m.Author, Subject: "bundle", Old: versionText(old),
 		New: strconv.FormatUint(m.Version, 10), Comment: m.Comment,
 	})
@@ -268,9 +268,9 @@
 	n.metrics.ListVersion.Set(int64(l.Version))
 	n.log.WithField("version", l.Version).WithField("vms", len(l.Vms)).Info("vm_list_changed")
 	for _, vm := range n.view.applyList(l) {
-		n.mesh.Drop(vm)
+		n.mesh.Disconnect(vm)
 	}
-	n.records.ListChanged(n.view.members())
+	n.records.SetMembers(n.view.members())
 }
 
 func (n *Node) onRefused(err error) {
@@ -288,19 +288,19 @@
 	}
 	members := n.view.members()
 	chooser := ownership.NewChooser(members)
-	giver := chooser.Singleton(permits.Duty)
+	giver := chooser.Singleton(permits.IssuerKey)
 	n.turnGiver.Store(&giver)
 	n.limits.SetVMs(countLive(members))
-	n.turns.Share.SetRate(c.Limits.GetLoadsPerSecond() / float64(max(countLive(members), 1)))
-	n.router.SetView(router.View{Catalog: c, Chooser: chooser, Hall: n.settings.Vm.Hall})
+	n.turns.Fallback.SetRate(c.Limits.GetLoadsPerSecond() / float64(max(countLive(members), 1)))
+	n.router.SetView(router.View{Catalog: c, Chooser: chooser, Zone: n.settings.Vm.Hall})
 	n.owner.Apply(owner.View{
 		Catalog: c, Chooser: chooser, Peers: n.view.Others(),
 		Leaving: n.view.isLeaving(),
 	})
 }
 
-// AskRelease asks another VM whether it has let go of targets.
-func (n *Node) AskRelease(ctx context.Context, vm coord.VMID, claims []*schema.Claim) ([]*schema.Released, error) {
+// RequestRelease asks another VM whether it has let go of targets.
+func (n *Node) RequestRelease(ctx context.Context, vm coord.VMID, claims []*schema.Claim) ([]*schema.Released, error) {
 	reply, err := n.mesh.Call(ctx, vm, &schema.Call{Body: &schema.Call_Release{
 		Release: &schema.ReleaseRequest{Vm: n.settings.Vm.Id, Claims: claims},
 	}})
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -14,20 +14,20 @@
 // ServeForward runs an attempt on a target that this VM owns.
 func (h *peerHandler) ServeForward(ctx context.Context, from coord.VMID, f *schema.Forward, w *peer.AnswerWriter) {
 	n := (*Node)(h)
-	n.sync.Heard(from, f.BundleVersion, f.ListVersion)
+	n.sync.ObserveVersions(from, f.BundleVersion, f.ListVersion)
 	if n.behind(f.BundleVersion) {
 		n.waitForBundle(ctx, f.BundleVersion)
 	}
 	_ = w.End(n.owner.Execute(ctx, f, w))
 }
 
-// Heard takes a heartbeat or a hello.
-func (h *peerHandler) Heard(b *schema.Heartbeat) {
+// HandleHeartbeat takes a heartbeat or a hello.
+func (h *peerHandler) HandleHeartbeat(b *schema.Heartbeat) {
 	n := (*Node)(h)
 	if n.view.heard(b) {
 		n.log.WithField("peer", b.Vm).WithField("leaving", b.Leaving).Info("peer_heard")
 	}
-	n.sync.Heard(coord.VMID(b.Vm), b.BundleVersion, b.ListVersion)
+	n.sync.ObserveVersions(coord.VMID(b.Vm), b.BundleVersion, b.ListVersion)
 }
 
 // ServeCall answers a call, with this VM's versions on every reply.
@@ -47,7 +47,7 @@
 	}
 	switch body := c.Body.(type) {
 	case *schema.Call_Heartbeat:
-		(*peerHandler)(n).Heard(body.Heartbeat)
+		(*peerHandler)(n).HandleHeartbeat(body.Heartbeat)
 		return emptyReply()
 	case *schema.Call_Suspect:
 		n.takeSuspicion(body.Suspect)
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -130,7 +130,7 @@
 		return
 	}
 	defer n.beating.Delete(vm)
-	if err := n.mesh.Beat(ctx, vm, h); err != nil {
+	if err := n.mesh.SendHeartbeat(ctx, vm, h); err != nil {
 		n.log.WithError(err).WithField("peer", string(vm)).Debug("heartbeat_failed")
 	}
 }
@@ -160,7 +160,7 @@
 // deadline. One that was only paused makes new sessions when it wakes.
 func (n *Node) dropSilent() {
 	for _, vm := range n.view.silentFor(dropAfter) {
-		n.mesh.Drop(vm)
+		n.mesh.Disconnect(vm)
 	}
 }
 
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -20,11 +20,11 @@
 }
 
 func peerStatus(m *membership.Member) *schema.PeerStatus {
-	return &schema.PeerStatus{Vm: string(m.ID), Hall: m.Hall, State: m.State.String()}
+	return &schema.PeerStatus{Vm: string(m.ID), Hall: m.Zone, State: m.State.String()}
 }
 
 func (n *Node) publishGauges() {
-	n.metrics.Gauge("open_requests", func() int64 { return int64(n.door.Open()) })
+	n.metrics.Gauge("open_requests", func() int64 { return int64(n.door.OpenRequests()) })
 	n.metrics.Gauge("peer_sessions", func() int64 { return int64(n.mesh.Sessions()) })
 	n.metrics.Gauge("peer_bytes_in_total", func() int64 { in, _ := n.mesh.Bytes(); return in })
 	n.metrics.Gauge("peer_bytes_out_total", func() int64 { _, out := n.mesh.Bytes(); return out })
@@ -38,8 +38,8 @@
 	})
 }
 
-// RecordsSettled reports whether this VM has the outcome records of all others.
-func (n *Node) RecordsSettled() bool {
+// RecordsSynced reports whether this VM has the outcome records of all others.
+func (n *Node) RecordsSynced() bool {
 	_, _, settled := n.records.Stats()
 	return settled
 }
@@ -55,7 +55,7 @@
 }
 
 // PlatformReads returns how many calls this VM has made to the platform.
-func (n *Node) PlatformReads() int64 { return n.metrics.ServiceReads.Value() }
+func (n *Node) PlatformReads() int64 { return n.metrics.PlatformReads.Value() }
 
 // Explain says why a model's request goes where it goes; nil for a model that the
 // bundle does not hold.
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -11,7 +11,7 @@
 )
 
 // view is the membership view of one VM behind a lock. It implements
-// confsync.Roster. Lock order: view.mu is taken alone.
+// confsync.Membership. Lock order: view.mu is taken alone.
 type view struct {
 	self coord.VMID
 	hall string
@@ -50,10 +50,10 @@
 
 // applyList takes a published list and returns the VMs that it dropped.
 func (v *view) applyList(l *schema.VMList) []coord.VMID {
-	listed := make([]membership.Listed, 0, len(l.Vms))
+	listed := make([]membership.ListedVM, 0, len(l.Vms))
 	for _, vm := range l.Vms {
-		listed = append(listed, membership.Listed{
-			ID: coord.VMID(vm.Id), Hall: vm.Hall, Address: vm.Address,
+		listed = append(listed, membership.ListedVM{
+			ID: coord.VMID(vm.Id), Zone: vm.Hall, Address: vm.Address,
 			Leaving: vm.State == schema.VMState_VM_STATE_LEAVING,
 		})
 	}
@@ -67,7 +67,7 @@
 // heard takes a sign of life; it returns false when nothing changed.
 func (v *view) heard(h *schema.Heartbeat) bool {
 	v.mu.Lock()
-	changed := v.tracker.Heard(v.now(), coord.VMID(h.Vm), h.Incarnation, h.Leaving)
+	changed := v.tracker.HandleHeartbeat(v.now(), coord.VMID(h.Vm), h.Incarnation, h.Leaving)
 	v.mu.Unlock()
 	if changed {
 		v.markDirty()
@@ -77,7 +77,7 @@
 
 func (v *view) suspected(id coord.VMID, incarnation uint64) bool {
 	v.mu.Lock()
-	changed := v.tracker.Suspected(v.now(), id, incarnation)
+	changed := v.tracker.HandleSuspicion(v.now(), id, incarnation)
 	v.mu.Unlock()
 	if changed {
 		v.markDirty()
@@ -180,8 +180,8 @@
 // watchersPerHall is how many VMs of a hall read the platform.
 const watchersPerHall = 2
 
-// Watcher reports whether this VM reads the platform for its hall.
-func (v *view) Watcher() bool {
+// IsWatcher reports whether this VM reads the platform for its hall.
+func (v *view) IsWatcher() bool {
 	for _, id := range watchers(v.members(), v.hall, watchersPerHall) {
 		if id == v.self {
 			return true
@@ -195,7 +195,7 @@
 	var in []*membership.Member
 	var hashes []uint64
 	for _, m := range members {
-		if m.Hall == hall && m.State == membership.Live {
+		if m.Zone == hall && m.State == membership.Live {
 			in = append(in, m)
 			hashes = append(hashes, rendezvous.Hash(string(m.ID)))
 		}
@@ -209,19 +209,19 @@
 	return out
 }
 
-// TellFirst returns the VMs that a watcher tells of a new version: those of its
+// PeersToNotify returns the VMs that a watcher tells of a new version: those of its
 // hall, and the first watcher of each other hall.
-func (v *view) TellFirst() []coord.VMID {
-	if !v.Watcher() {
+func (v *view) PeersToNotify() []coord.VMID {
+	if !v.IsWatcher() {
 		return nil
 	}
 	members := v.members()
-	out := ids(members, func(m *membership.Member) bool { return m.Hall == v.hall && m.ID != v.self })
+	out := ids(members, func(m *membership.Member) bool { return m.Zone == v.hall && m.ID != v.self })
 	seen := map[string]bool{v.hall: true}
 	for _, m := range members {
-		if !seen[m.Hall] {
-			seen[m.Hall] = true
-			out = append(out, watchers(members, m.Hall, 1)...)
+		if !seen[m.Zone] {
+			seen[m.Zone] = true
+			out = append(out, watchers(members, m.Zone, 1)...)
 		}
 	}
 	return out
--- a/internal/owner/execute.go
+++ b/internal/owner/execute.go
@@ -58,8 +58,8 @@
 	if d < time.Millisecond {
 		return
 	}
-	u.owner.cfg.Metrics.Stalled.Add(1)
-	metrics.AddMillis(u.owner.cfg.Metrics.StallMillis, d)
+	u.owner.cfg.Metrics.StalledRequests.Add(1)
+	metrics.AddMillis(u.owner.cfg.Metrics.LoadStallMillis, d)
 }
 
 // pending is a request that was given to the dispatcher of one tenure.
@@ -99,7 +99,7 @@
 // mayServe reports whether the tenure of the dispatcher in force still lasts.
 // u.mu is held.
 func (u *unit) mayServe() bool {
-	return u.dispatch != nil && u.machine.MayStart() && u.machine.Fence() == u.serving
+	return u.dispatch != nil && u.machine.MayStart() && u.machine.FencingToken() == u.serving
 }
 
 // admit refuses what this VM may not or cannot send. u.mu is held.
@@ -144,7 +144,7 @@
 	u.mu.Lock()
 	ok := u.mayServe() && u.serving == p.fence
 	if ok {
-		u.machine.Started()
+		u.machine.RequestStarted()
 	}
 	engine := u.engine
 	u.mu.Unlock()
@@ -153,15 +153,15 @@
 		return refuse(forward.CodeNotOwner, 0, "the target went to another owner")
 	}
 	r := engine.Run(ctx, target.Run{
-		Forward: f, Name: act.Name, Model: p.ref.Model(), Fence: p.fence, Attempt: &attempt.Attempt{},
+		Forward: f, Name: act.Name, Model: p.ref.Model(), FencingToken: p.fence, Attempt: &attempt.Attempt{},
 	}, sink)
 	if r.Failure != nil && r.Failure.Outcome == schema.Outcome_OUTCOME_UNKNOWN {
 		u.brokenOff(p)
 	} else {
 		u.ended(p)
 	}
-	if r.Failure != nil && r.Failure.Code == target.EngineStaleFence {
-		u.orderFailed(p.fence, &target.StaleFence{})
+	if r.Failure != nil && r.Failure.Code == target.EngineStaleToken {
+		u.orderFailed(p.fence, &target.StaleTokenError{})
 	}
 	return r
 }
@@ -169,7 +169,7 @@
 // ended lets go of a request that the target is done with.
 func (u *unit) ended(p *pending) {
 	u.mu.Lock()
-	u.machine.Ended(u.now())
+	u.machine.RequestEnded(u.now())
 	u.mu.Unlock()
 	u.finished(p)
 }
@@ -177,9 +177,9 @@
 // brokenOff does the same for a request that the target may still be at work on.
 func (u *unit) brokenOff(p *pending) {
 	u.mu.Lock()
-	u.machine.BrokenOff(u.now())
+	u.machine.RequestAborted(u.now())
 	u.mu.Unlock()
-	u.feed(p.dispatch, func(now time.Time) []dispatch.Action { return p.dispatch.BrokenOff(now, p.handle) })
+	u.feed(p.dispatch, func(now time.Time) []dispatch.Action { return p.dispatch.RequestAborted(now, p.handle) })
 }
 
 // finished unpins what a request used that is not sent, or that the target is done
@@ -196,7 +196,7 @@
 	if u.dispatch != nil {
 		h.Running, h.Queued = uint32(u.dispatch.Running()), uint32(u.dispatch.Queued())
 		model, _ := u.catalog.Resolve(coord.Adapter{Name: f.Adapter, Version: f.AdapterVersion}.Model())
-		h.SameAdapter = uint32(u.dispatch.SameAdapter(model.Adapter))
+		h.SameAdapter = uint32(u.dispatch.AdapterRequests(model.Adapter))
 	}
 	return h
 }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -24,11 +24,11 @@
 	switch a.Kind {
 	case dispatch.ActStart, dispatch.ActRefuse:
 		u.wake(a)
-	case dispatch.ActAskTurn:
-		u.submitOrder(func(d *dispatch.Dispatcher) { u.askTurn(d, a.Value) })
-	case dispatch.ActRaiseTurn:
-		u.owner.pool.Submit(func() { u.owner.cfg.Turns.Raise(u.id, a.Value) })
-	case dispatch.ActGiveTurn:
+	case dispatch.ActRequestPermit:
+		u.submitOrder(func(d *dispatch.Dispatcher) { u.askTurn(d, a.Priority) })
+	case dispatch.ActRaisePermit:
+		u.owner.pool.Submit(func() { u.owner.cfg.Permits.RaisePriority(u.id, a.Priority) })
+	case dispatch.ActReturnPermit:
 		u.giveTurn()
 	case dispatch.ActLoad:
 		u.submitOrder(func(d *dispatch.Dispatcher) { u.load(d, a) })
@@ -72,14 +72,14 @@
 }
 
 func (u *unit) askTurn(d *dispatch.Dispatcher, value float64) {
-	done, granted, retry := u.owner.cfg.Turns.Acquire(context.Background(), u.id, value)
+	done, granted, retry := u.owner.cfg.Permits.Acquire(context.Background(), u.id, value)
 	if !granted {
-		u.feed(d, func(now time.Time) []dispatch.Action { return d.TurnDenied(now, retry) })
+		u.feed(d, func(now time.Time) []dispatch.Action { return d.PermitDenied(now, retry) })
 		return
 	}
 	current := u.feed(d, func(now time.Time) []dispatch.Action {
 		u.turnDone = done
-		return d.TurnGranted(now)
+		return d.PermitGranted(now)
 	})
 	if !current {
 		done()
@@ -101,7 +101,7 @@
 func (u *unit) order() (engine *target.Engine, fence uint64, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.engine, u.machine.Fence(), u.machine.MayStart()
+	return u.engine, u.machine.FencingToken(), u.machine.MayStart()
 }
 
 func (u *unit) load(d *dispatch.Dispatcher, a dispatch.Action) {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -29,20 +29,20 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Turns gives load turns at the weight store.
-type Turns interface {
+// Permits gives load turns at the weight store.
+type Permits interface {
 	// Acquire waits for a turn. When it is granted, done must be called once
 	// the load has ended; otherwise the load may be asked for again after
 	// retry.
 	Acquire(ctx context.Context, target coord.TargetID, value float64) (done func(), granted bool, retry time.Duration)
-	// Raise changes the value of the target's ask that waits.
-	Raise(target coord.TargetID, value float64)
+	// RaisePriority changes the value of the target's ask that waits.
+	RaisePriority(target coord.TargetID, value float64)
 }
 
-// Releases asks other VMs whether they have let go of targets.
-type Releases interface {
-	// AskRelease returns the claimed targets that vm has let go of.
-	AskRelease(ctx context.Context, vm coord.VMID, claims []*schema.Claim) ([]*schema.Released, error)
+// ReleaseClient asks other VMs whether they have let go of targets.
+type ReleaseClient interface {
+	// RequestRelease returns the claimed targets that vm has let go of.
+	RequestRelease(ctx context.Context, vm coord.VMID, claims []*schema.Claim) ([]*schema.Released, error)
 }
 
 // Config holds what an Owner works with.
@@ -50,11 +50,11 @@
 	Self coord.VMID
 	// Incarnation of this process.
 	Incarnation uint64
-	Tie         uint16
+	TieBreaker  uint16
 	Transport   http.RoundTripper
 	OrderToken  string
-	Turns       Turns
-	Releases    Releases
+	Permits     Permits
+	Releases    ReleaseClient
 	Log         log.Interface
 	Audit       *audit.Trail
 	Metrics     *metrics.Set
@@ -243,7 +243,7 @@
 	if mean == 0 {
 		mean = took
 	}
-	o.loadTime.Store(int64(dispatch.Blend(mean, took)))
+	o.loadTime.Store(int64(dispatch.UpdateEWMA(mean, took)))
 }
 
 // Close waits for orders that run.
--- a/internal/owner/tenure.go
+++ b/internal/owner/tenure.go
@@ -26,9 +26,9 @@
 	case ownership.ActRead:
 		u.owner.pool.Submit(u.read)
 	case ownership.ActClaim:
-		u.owner.pool.Submit(func() { u.claim(a.Fence) })
-	case ownership.ActAskRelease:
-		u.owner.pool.Submit(func() { u.askRelease(a.VM, a.Fence) })
+		u.owner.pool.Submit(func() { u.claim(a.FencingToken) })
+	case ownership.ActRequestRelease:
+		u.owner.pool.Submit(func() { u.askRelease(a.VM, a.FencingToken) })
 	case ownership.ActServe:
 		u.serve(a)
 	case ownership.ActSetHolds:
@@ -45,7 +45,7 @@
 		return
 	}
 	u.mu.Lock()
-	acts := u.machine.Read(u.now(), ownership.Report{Fence: state.Fence, Resident: state.Resident})
+	acts := u.machine.HandleReport(u.now(), ownership.Report{FencingToken: state.FencingToken, Resident: state.Resident})
 	u.mu.Unlock()
 	u.runOwnership(acts)
 }
@@ -71,7 +71,7 @@
 	u.mu.Lock()
 	u.boot = state.BootID
 	u.leaving = state.Leaving || u.spec.Leaving
-	acts := u.machine.Claimed(u.now(), fence, ownership.Report{Fence: state.Fence, Resident: state.Resident})
+	acts := u.machine.HandleClaimAccepted(u.now(), fence, ownership.Report{FencingToken: state.FencingToken, Resident: state.Resident})
 	u.mu.Unlock()
 	u.runOwnership(acts)
 }
@@ -79,12 +79,12 @@
 // orderFailed steps down when the target refused the order's number.
 func (u *unit) orderFailed(fence uint64, err error) {
 	u.log().WithError(err).WithField("fence", fence).Warn("order_failed")
-	var stale *target.StaleFence
+	var stale *target.StaleTokenError
 	if !errors.As(err, &stale) {
 		return
 	}
 	u.mu.Lock()
-	acts := u.machine.Refused(u.now(), fence, stale.Seen)
+	acts := u.machine.HandleRejection(u.now(), fence, stale.Seen)
 	u.mu.Unlock()
 	u.runOwnership(acts)
 }
@@ -93,12 +93,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	claim := &schema.Claim{Target: string(u.id), Fence: fence}
-	released, err := u.owner.cfg.Releases.AskRelease(ctx, vm, []*schema.Claim{claim})
+	released, err := u.owner.cfg.Releases.RequestRelease(ctx, vm, []*schema.Claim{claim})
 	if err != nil || len(released) == 0 {
 		return
 	}
 	u.mu.Lock()
-	acts := u.machine.Released(vm, fence, released[0].InUse)
+	acts := u.machine.HandleRelease(vm, fence, released[0].InUse)
 	u.mu.Unlock()
 	u.runOwnership(acts)
 }
@@ -109,15 +109,15 @@
 // serve starts the dispatcher from what the target holds.
 func (u *unit) serve(a ownership.Action) {
 	u.mu.Lock()
-	u.dispatch = dispatch.New(u.dispatchConfig(a.Fence))
-	u.serving = a.Fence
+	u.dispatch = dispatch.New(u.dispatchConfig(a.FencingToken))
+	u.serving = a.FencingToken
 	u.dispatch.Inherit(u.now(), a.Resident, u.catalog.ParseName, u.fences())
 	took := u.now().Sub(u.tookAt)
 	u.mu.Unlock()
 	u.owner.cfg.Metrics.Takeovers.Add(1)
-	u.owner.cfg.Audit.Note(u.now(), audit.Change{
+	u.owner.cfg.Audit.Record(u.now(), audit.Change{
 		Actor: "ownership", Subject: "target/" + string(u.id),
-		New:     string(u.owner.cfg.Self) + " fence " + strconv.FormatUint(a.Fence, 10),
+		New:     string(u.owner.cfg.Self) + " fence " + strconv.FormatUint(a.FencingToken, 10),
 		Comment: "serving after " + took.String(),
 	})
 }
@@ -164,7 +164,7 @@
 	}
 	u.mu.Unlock()
 	u.owner.cfg.Metrics.StepDowns.Add(1)
-	u.owner.cfg.Audit.Note(u.now(), audit.Change{
+	u.owner.cfg.Audit.Record(u.now(), audit.Change{
 		Actor: "ownership", Subject: "target/" + string(u.id), Old: string(u.owner.cfg.Self), Comment: "stepped down",
 	})
 	u.runDispatch(acts)
--- a/internal/owner/unit.go
+++ b/internal/owner/unit.go
@@ -44,7 +44,7 @@
 	return &unit{
 		id: t.ID, owner: o, spec: t, catalog: c,
 		engine:  target.NewEngine(t.Target, o.cfg.Transport, o.cfg.OrderToken),
-		machine: ownership.New(o.cfg.Self, o.cfg.Tie),
+		machine: ownership.New(o.cfg.Self, o.cfg.TieBreaker),
 		waiters: map[uint64]chan dispatch.Action{},
 	}
 }
@@ -67,7 +67,7 @@
 	if wanted && before == ownership.Idle {
 		u.tookAt = u.now()
 	}
-	acts = append(acts, u.machine.Want(u.now(), wanted, v.Peers)...)
+	acts = append(acts, u.machine.SetDesired(u.now(), wanted, v.Peers)...)
 	u.mu.Unlock()
 	u.runOwnership(acts)
 }
@@ -84,7 +84,7 @@
 	}
 	u.engine = target.NewEngine(t.Target, u.owner.cfg.Transport, u.owner.cfg.OrderToken)
 	u.boot = ""
-	return u.machine.Rebooted(u.now())
+	return u.machine.HandleRestart(u.now())
 }
 
 func sameTarget(a, b *schema.Target) bool {
@@ -121,7 +121,7 @@
 // that its last requests still use.
 func (u *unit) release(fence uint64) (released bool, inUse []string) {
 	u.mu.Lock()
-	released, acts := u.machine.AskedToRelease(u.now(), fence)
+	released, acts := u.machine.HandleReleaseRequest(u.now(), fence)
 	if u.dispatch != nil {
 		inUse = u.dispatch.Slots().InUse(u.now())
 	}
@@ -168,7 +168,7 @@
 	if u.dispatch == d && u.boot != "" && boot != u.boot {
 		restarted = true
 		u.boot = ""
-		acts = u.machine.Rebooted(u.now())
+		acts = u.machine.HandleRestart(u.now())
 	}
 	u.mu.Unlock()
 	if restarted {
@@ -190,7 +190,7 @@
 func (u *unit) status() *schema.TargetStatus {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s := &schema.TargetStatus{Target: string(u.id), Fence: u.machine.Fence(), State: u.machine.Phase().String()}
+	s := &schema.TargetStatus{Target: string(u.id), Fence: u.machine.FencingToken(), State: u.machine.Phase().String()}
 	for _, vm := range u.machine.Holds() {
 		s.Holds = append(s.Holds, string(vm))
 	}
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -19,8 +19,8 @@
 	y.EnableKeepAlive = false
 	y.LogOutput = io.Discard
 	y.StreamOpenTimeout = streamOpenTimeout
-	if c.SilenceTimeout > 0 {
-		y.StreamOpenTimeout = c.SilenceTimeout
+	if c.AckTimeout > 0 {
+		y.StreamOpenTimeout = c.AckTimeout
 	}
 	y.ConnectionWriteTimeout = writeTimeout
 	return y
@@ -76,7 +76,7 @@
 		return errors.Wrap(err, "open control stream")
 	}
 	s.use(stream) // for as long as the session lasts
-	mine := &schema.Hello{Vm: string(m.cfg.Self), Hall: m.cfg.Hall, Incarnation: m.cfg.Incarnation}
+	mine := &schema.Hello{Vm: string(m.cfg.Self), Hall: m.cfg.Zone, Incarnation: m.cfg.Incarnation}
 	if err := writeFrame(stream, &schema.Frame{Kind: &schema.Frame_Hello{Hello: mine}}); err != nil {
 		return errors.Wrap(err, "send hello")
 	}
@@ -91,7 +91,7 @@
 	}
 	s.vm = coord.VMID(theirs.Vm)
 	s.control = stream
-	m.handler.Heard(&schema.Heartbeat{Vm: theirs.Vm, Incarnation: theirs.Incarnation})
+	m.handler.HandleHeartbeat(&schema.Heartbeat{Vm: theirs.Vm, Incarnation: theirs.Incarnation})
 	go m.readControl(s, frames)
 	return nil
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -36,23 +36,23 @@
 	ServeForward(ctx context.Context, from coord.VMID, f *schema.Forward, w *AnswerWriter)
 	// ServeCall answers a call.
 	ServeCall(ctx context.Context, from coord.VMID, c *schema.Call) *schema.Reply
-	// Heard takes a heartbeat or a hello.
-	Heard(h *schema.Heartbeat)
+	// HandleHeartbeat takes a heartbeat or a hello.
+	HandleHeartbeat(h *schema.Heartbeat)
 }
 
 // Config holds the settings of a Mesh.
 type Config struct {
 	Self        coord.VMID
-	Hall        string
+	Zone        string
 	Incarnation uint64
 	// TLS is nil when TLS is off.
 	TLS *tls.Config
 	// DialTimeout bounds the making of a session.
 	DialTimeout time.Duration
-	// SilenceTimeout is how long the other side of a session may take to acknowledge
+	// AckTimeout is how long the other side of a session may take to acknowledge
 	// that a call was begun, before the session is closed: a connection may fall
 	// silent without an end. Zero: 5 s.
-	SilenceTimeout time.Duration
+	AckTimeout time.Duration
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
@@ -121,8 +121,8 @@
 	m.keep(s)
 }
 
-// Drop ends the sessions with a VM; answers under way on them are cut.
-func (m *Mesh) Drop(vm coord.VMID) {
+// Disconnect ends the sessions with a VM; answers under way on them are cut.
+func (m *Mesh) Disconnect(vm coord.VMID) {
 	for _, s := range m.open() {
 		if s.vm == vm {
 			s.close()
@@ -173,7 +173,7 @@
 			return
 		}
 		if h := f.GetHeartbeat(); h != nil && h.Vm == string(s.vm) {
-			m.handler.Heard(h)
+			m.handler.HandleHeartbeat(h)
 		}
 	}
 }
@@ -279,8 +279,8 @@
 	return s, nil
 }
 
-// Beat sends a heartbeat to a VM.
-func (m *Mesh) Beat(ctx context.Context, vm coord.VMID, h *schema.Heartbeat) error {
+// SendHeartbeat sends a heartbeat to a VM.
+func (m *Mesh) SendHeartbeat(ctx context.Context, vm coord.VMID, h *schema.Heartbeat) error {
 	s, err := m.get(ctx, vm)
 	if err != nil {
 		return err
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -53,19 +53,19 @@
 	}{
 		{"whole", []*schema.Frame{head("r", 1), data("r", 1, 1, "a"), data("r", 1, 2, "b"), end("r", 1, 2)}, "", "ab"},
 		{"no body", []*schema.Frame{head("r", 1), end("r", 1, 0)}, "", ""},
-		{"cut before the end", []*schema.Frame{head("r", 1), data("r", 1, 1, "a")}, forward.CodeCut, "a"},
-		{"cut before the head", nil, forward.CodeCut, ""},
-		{"a part is lost", []*schema.Frame{head("r", 1), data("r", 1, 2, "b"), end("r", 1, 2)}, forward.CodeCrossed, ""},
-		{"a part comes twice", []*schema.Frame{head("r", 1), data("r", 1, 1, "a"), data("r", 1, 1, "a")}, forward.CodeCrossed, "a"},
-		{"parts change places", []*schema.Frame{head("r", 1), data("r", 1, 2, "b"), data("r", 1, 1, "a")}, forward.CodeCrossed, ""},
-		{"the last part is lost", []*schema.Frame{head("r", 1), data("r", 1, 1, "a"), end("r", 1, 2)}, forward.CodeCrossed, "a"},
-		{"another request's head", []*schema.Frame{head("other", 1)}, forward.CodeCrossed, ""},
-		{"another request's part", []*schema.Frame{head("r", 1), data("other", 1, 1, "x")}, forward.CodeCrossed, ""},
-		{"an earlier attempt's part", []*schema.Frame{head("r", 2), data("r", 1, 1, "x")}, forward.CodeCrossed, ""},
-		{"an earlier attempt's end", []*schema.Frame{head("r", 1), end("r", 7, 0)}, forward.CodeCrossed, ""},
-		{"a second head", []*schema.Frame{head("r", 1), head("r", 1)}, forward.CodeCrossed, ""},
-		{"a part before the head", []*schema.Frame{data("r", 1, 1, "x")}, forward.CodeCrossed, ""},
-		{"a frame of another kind", []*schema.Frame{{Kind: &schema.Frame_Hello{Hello: &schema.Hello{Vm: "x"}}}}, forward.CodeCrossed, ""},
+		{"cut before the end", []*schema.Frame{head("r", 1), data("r", 1, 1, "a")}, forward.CodeAnswerTruncated, "a"},
+		{"cut before the head", nil, forward.CodeAnswerTruncated, ""},
+		{"a part is lost", []*schema.Frame{head("r", 1), data("r", 1, 2, "b"), end("r", 1, 2)}, forward.CodeAnswerMismatch, ""},
+		{"a part comes twice", []*schema.Frame{head("r", 1), data("r", 1, 1, "a"), data("r", 1, 1, "a")}, forward.CodeAnswerMismatch, "a"},
+		{"parts change places", []*schema.Frame{head("r", 1), data("r", 1, 2, "b"), data("r", 1, 1, "a")}, forward.CodeAnswerMismatch, ""},
+		{"the last part is lost", []*schema.Frame{head("r", 1), data("r", 1, 1, "a"), end("r", 1, 2)}, forward.CodeAnswerMismatch, "a"},
+		{"another request's head", []*schema.Frame{head("other", 1)}, forward.CodeAnswerMismatch, ""},
+		{"another request's part", []*schema.Frame{head("r", 1), data("other", 1, 1, "x")}, forward.CodeAnswerMismatch, ""},
+		{"an earlier attempt's part", []*schema.Frame{head("r", 2), data("r", 1, 1, "x")}, forward.CodeAnswerMismatch, ""},
+		{"an earlier attempt's end", []*schema.Frame{head("r", 1), end("r", 7, 0)}, forward.CodeAnswerMismatch, ""},
+		{"a second head", []*schema.Frame{head("r", 1), head("r", 1)}, forward.CodeAnswerMismatch, ""},
+		{"a part before the head", []*schema.Frame{data("r", 1, 1, "x")}, forward.CodeAnswerMismatch, ""},
+		{"a frame of another kind", []*schema.Frame{{Kind: &schema.Frame_Hello{Hello: &schema.Hello{Vm: "x"}}}}, forward.CodeAnswerMismatch, ""},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var wire bytes.Buffer
@@ -94,7 +94,7 @@
 func (echo) ServeCall(context.Context, coord.VMID, *schema.Call) *schema.Reply {
 	return &schema.Reply{Body: &schema.Reply_Empty{Empty: &schema.Empty{}}}
 }
-func (echo) Heard(*schema.Heartbeat) {}
+func (echo) HandleHeartbeat(*schema.Heartbeat) {}
 
 // startMesh starts a VM's mesh and returns its address.
 func startMesh(t *testing.T, vm coord.VMID, config *tls.Config, resolve func(coord.VMID) string) (*Mesh, string) {
@@ -202,7 +202,7 @@
 	for range calls {
 		<-handler.taken
 	}
-	go a.Drop("b")
+	go a.Disconnect("b")
 	guard := time.After(20 * time.Second)
 	for i := range calls {
 		select {
@@ -245,7 +245,7 @@
 		last.Store(c)
 		return c, nil
 	}
-	a := New(Config{Self: "a", DialTimeout: 2 * time.Second, SilenceTimeout: 50 * time.Millisecond, Dial: dial}, echo{},
+	a := New(Config{Self: "a", DialTimeout: 2 * time.Second, AckTimeout: 50 * time.Millisecond, Dial: dial}, echo{},
 		func(coord.VMID) string { return l.Addr().String() })
 	defer func() { a.Close(); b.Close(); _ = l.Close() }()
 	_, err = a.Call(t.Context(), "b", &schema.Call{})
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -165,14 +165,14 @@
 }
 
 func unreachable(err error) forward.Result {
-	return forward.Fail(forward.CodeUnreachable, http.StatusServiceUnavailable,
+	return forward.Fail(forward.CodeOwnerUnreachable, http.StatusServiceUnavailable,
 		schema.Outcome_OUTCOME_NOT_RUN, time.Second, err.Error())
 }
 
 // cut is the result of an answer that ended without its end frame: the request
 // may have run.
 func cut(ctx context.Context, err error) forward.Result {
-	code, status := forward.CodeCut, http.StatusBadGateway
+	code, status := forward.CodeAnswerTruncated, http.StatusBadGateway
 	if ctx.Err() != nil {
 		code, status = forward.CodeTimeout, http.StatusGatewayTimeout
 	}
@@ -202,7 +202,7 @@
 		}
 		end, err := c.take(f)
 		if errors.Is(err, errCrossed) {
-			return forward.Fail(forward.CodeCrossed, http.StatusBadGateway,
+			return forward.Fail(forward.CodeAnswerMismatch, http.StatusBadGateway,
 				schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
 		}
 		if err != nil {
--- a/internal/permits/turns.go
+++ b/internal/permits/turns.go
@@ -16,8 +16,8 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Duty is the rendezvous key of the giver.
-const Duty = "load-turns"
+// IssuerKey is the rendezvous key of the giver.
+const IssuerKey = "load-turns"
 
 // Limits of a turn.
 const (
@@ -32,12 +32,12 @@
 	deniedRetry = 100 * time.Millisecond
 )
 
-// Giver gives turns to whoever asks this VM.
-type Giver struct {
+// Issuer gives turns to whoever asks this VM.
+type Issuer struct {
 	now func() time.Time
 
 	mu     sync.Mutex
-	give   *loadpermit.Giver
+	give   *loadpermit.Issuer
 	next   uint64
 	wakers map[uint64]chan struct{}
 	// asks is the waiting ask of each target.
@@ -45,43 +45,43 @@
 	timer *time.Timer
 }
 
-// NewGiver returns a Giver for a weight store that allows perSecond loads, one
+// NewIssuer returns a Giver for a weight store that allows perSecond loads, one
 // at a time.
-func NewGiver(perSecond float64, now func() time.Time) *Giver {
-	return &Giver{
+func NewIssuer(perSecond float64, now func() time.Time) *Issuer {
+	return &Issuer{
 		now: now, wakers: map[uint64]chan struct{}{}, asks: map[coord.TargetID]uint64{},
-		give: loadpermit.New(loadpermit.Config{PerSecond: perSecond, Concurrent: 1, Hold: holdTimeout}),
+		give: loadpermit.New(loadpermit.Config{PerSecond: perSecond, Concurrent: 1, MaxHoldTime: holdTimeout}),
 	}
 }
 
 // SetRate takes the rate of a new bundle.
-func (g *Giver) SetRate(perSecond float64) {
+func (g *Issuer) SetRate(perSecond float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.give.SetRate(perSecond)
 }
 
-// Ask waits for a turn for a target, which has one ask at a time.
-func (g *Giver) Ask(ctx context.Context, target coord.TargetID, value float64) (turn uint64, granted bool) {
+// Request waits for a turn for a target, which has one ask at a time.
+func (g *Issuer) Request(ctx context.Context, target coord.TargetID, value float64) (turn uint64, granted bool) {
 	g.mu.Lock()
 	g.next++
 	id := g.next
 	g.asks[target] = id
 	waker := make(chan struct{})
 	g.wakers[id] = waker
-	g.wake(g.give.Ask(g.now(), loadpermit.Ask{ID: id, Value: value}))
+	g.wake(g.give.Request(g.now(), loadpermit.Request{ID: id, Priority: value}))
 	g.mu.Unlock()
 	defer g.forget(target, id)
 	select {
 	case <-waker:
 		return id, true
 	case <-ctx.Done():
-		g.Done(id)
+		g.Release(id)
 		return 0, false
 	}
 }
 
-func (g *Giver) forget(target coord.TargetID, id uint64) {
+func (g *Issuer) forget(target coord.TargetID, id uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.asks[target] == id {
@@ -89,17 +89,17 @@
 	}
 }
 
-// Raise changes the value of a target's waiting ask.
-func (g *Giver) Raise(target coord.TargetID, value float64) {
+// RaisePriority changes the value of a target's waiting ask.
+func (g *Issuer) RaisePriority(target coord.TargetID, value float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if id, ok := g.asks[target]; ok {
-		g.give.Raise(id, value)
+		g.give.RaisePriority(id, value)
 	}
 }
 
-// Done gives a turn back, or withdraws an ask.
-func (g *Giver) Done(id uint64) {
+// Release gives a turn back, or withdraws an ask.
+func (g *Issuer) Release(id uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.wakers, id)
@@ -108,7 +108,7 @@
 
 // wake tells the granted askers, and sets the timer for the next grant. g.mu is
 // held.
-func (g *Giver) wake(granted []uint64) {
+func (g *Issuer) wake(granted []uint64) {
 	for _, id := range granted {
 		if w := g.wakers[id]; w != nil {
 			close(w)
@@ -118,7 +118,7 @@
 	if len(g.wakers) == 0 {
 		return
 	}
-	wait := max(g.give.Next().Sub(g.now()), time.Millisecond)
+	wait := max(g.give.NextGrant().Sub(g.now()), time.Millisecond)
 	if g.timer == nil {
 		g.timer = time.AfterFunc(wait, g.tick)
 		return
@@ -126,34 +126,34 @@
 	g.timer.Reset(wait)
 }
 
-func (g *Giver) tick() {
+func (g *Issuer) tick() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.wake(g.give.Tick(g.now()))
 }
 
-// Caller asks other VMs.
-type Caller interface {
+// PeerCaller asks other VMs.
+type PeerCaller interface {
 	Call(ctx context.Context, vm coord.VMID, c *schema.Call) (*schema.Reply, error)
 }
 
-// Turns asks the giver for turns. It implements owner.Turns.
-type Turns struct {
+// Coordinator asks the giver for turns. It implements owner.Turns.
+type Coordinator struct {
 	// Self is this VM, Local its own giver.
 	Self  coord.VMID
-	Local *Giver
-	// Share gives turns at this VM's static share when the giver is lost.
-	Share *Giver
-	Peers Caller
-	// Giver returns the VM that gives turns now.
-	Giver func() coord.VMID
+	Local *Issuer
+	// Fallback gives turns at this VM's static share when the giver is lost.
+	Fallback *Issuer
+	Peers    PeerCaller
+	// IssuerVM returns the VM that gives turns now.
+	IssuerVM func() coord.VMID
 }
 
 // Acquire waits for a turn.
-func (t *Turns) Acquire(ctx context.Context, target coord.TargetID, value float64) (done func(), granted bool, retry time.Duration) {
+func (t *Coordinator) Acquire(ctx context.Context, target coord.TargetID, value float64) (done func(), granted bool, retry time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	vm := t.Giver()
+	vm := t.IssuerVM()
 	if vm == t.Self || vm == "" {
 		return acquireFrom(ctx, t.Local, target, value)
 	}
@@ -161,7 +161,7 @@
 		Vm: string(t.Self), Target: string(target), Value: value, TimeoutMs: serveTimeout.Milliseconds(),
 	}}})
 	if err != nil && ctx.Err() == nil {
-		return acquireFrom(ctx, t.Share, target, value)
+		return acquireFrom(ctx, t.Fallback, target, value)
 	}
 	if err != nil || !reply.GetTurn().GetGranted() {
 		return nil, false, deniedRetry
@@ -170,20 +170,20 @@
 	return func() { t.giveBack(vm, turn) }, true, 0
 }
 
-func acquireFrom(ctx context.Context, g *Giver, target coord.TargetID, value float64) (done func(), granted bool, retry time.Duration) {
-	turn, ok := g.Ask(ctx, target, value)
+func acquireFrom(ctx context.Context, g *Issuer, target coord.TargetID, value float64) (done func(), granted bool, retry time.Duration) {
+	turn, ok := g.Request(ctx, target, value)
 	if !ok {
 		return nil, false, deniedRetry
 	}
-	return func() { g.Done(turn) }, true, 0
+	return func() { g.Release(turn) }, true, 0
 }
 
-// Raise changes the value of a target's waiting ask. A raise that is lost costs
+// RaisePriority changes the value of a target's waiting ask. A raise that is lost costs
 // time only.
-func (t *Turns) Raise(target coord.TargetID, value float64) {
-	vm := t.Giver()
+func (t *Coordinator) RaisePriority(target coord.TargetID, value float64) {
+	vm := t.IssuerVM()
 	if vm == t.Self || vm == "" {
-		t.Local.Raise(target, value)
+		t.Local.RaisePriority(target, value)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
@@ -193,27 +193,27 @@
 	}})
 }
 
-func (t *Turns) giveBack(vm coord.VMID, turn uint64) {
+func (t *Coordinator) giveBack(vm coord.VMID, turn uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
 	_, _ = t.Peers.Call(ctx, vm, &schema.Call{Body: &schema.Call_TurnDone{TurnDone: &schema.TurnDone{Turn: turn}}})
 }
 
 // Serve answers another VM's call about turns. It returns nil for other calls.
-func (t *Turns) Serve(ctx context.Context, c *schema.Call) *schema.Reply {
+func (t *Coordinator) Serve(ctx context.Context, c *schema.Call) *schema.Reply {
 	switch body := c.Body.(type) {
 	case *schema.Call_Turn:
 		ctx, cancel := context.WithTimeout(ctx, time.Duration(body.Turn.TimeoutMs)*time.Millisecond)
 		defer cancel()
-		turn, ok := t.Local.Ask(ctx, coord.TargetID(body.Turn.Target), body.Turn.Value)
+		turn, ok := t.Local.Request(ctx, coord.TargetID(body.Turn.Target), body.Turn.Value)
 		return &schema.Reply{Body: &schema.Reply_Turn{Turn: &schema.TurnReply{
 			Granted: ok, Turn: turn, RetryAfterMs: deniedRetry.Milliseconds(),
 		}}}
 	case *schema.Call_TurnRaise:
-		t.Local.Raise(coord.TargetID(body.TurnRaise.Target), body.TurnRaise.Value)
+		t.Local.RaisePriority(coord.TargetID(body.TurnRaise.Target), body.TurnRaise.Value)
 		return &schema.Reply{Body: &schema.Reply_Empty{Empty: &schema.Empty{}}}
 	case *schema.Call_TurnDone:
-		t.Local.Done(body.TurnDone.Turn)
+		t.Local.Release(body.TurnDone.Turn)
 		return &schema.Reply{Body: &schema.Reply_Empty{Empty: &schema.Empty{}}}
 	}
 	return nil
--- a/internal/permits/turns_test.go
+++ b/internal/permits/turns_test.go
@@ -23,12 +23,12 @@
 // TestTurnsKeepTheRate hands four turns out at three a second, one at a time.
 func TestTurnsKeepTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGiver(3, time.Now)
+		g := NewIssuer(3, time.Now)
 		began := time.Now()
 		for range 4 {
-			turn, ok := g.Ask(t.Context(), "t", 1)
+			turn, ok := g.Request(t.Context(), "t", 1)
 			assert.Assert(t, ok)
-			g.Done(turn)
+			g.Release(turn)
 		}
 		took := time.Since(began)
 		assert.Assert(t, took >= 999*time.Millisecond && took < 1100*time.Millisecond, "%s", took)
@@ -38,19 +38,19 @@
 // TestRaisedAskGoesFirst raises an ask above one that was worth more.
 func TestRaisedAskGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGiver(1000, time.Now)
-		held, _ := g.Ask(t.Context(), "busy", 1)
+		g := NewIssuer(1000, time.Now)
+		held, _ := g.Request(t.Context(), "busy", 1)
 		order := make(chan coord.TargetID, 2)
 		for target, value := range map[coord.TargetID]float64{"low": 1, "high": 5} {
 			go func() {
-				turn, _ := g.Ask(t.Context(), target, value)
+				turn, _ := g.Request(t.Context(), target, value)
 				order <- target
-				g.Done(turn)
+				g.Release(turn)
 			}()
 		}
 		synctest.Wait()
-		g.Raise("low", 9)
-		g.Done(held)
+		g.RaisePriority("low", 9)
+		g.Release(held)
 		assert.Equal(t, <-order, coord.TargetID("low"))
 		assert.Equal(t, <-order, coord.TargetID("high"))
 	})
@@ -59,11 +59,11 @@
 // TestLostTurnComesBack takes a turn back that its holder never returned.
 func TestLostTurnComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGiver(1000, time.Now)
-		_, ok := g.Ask(t.Context(), "lost", 1)
+		g := NewIssuer(1000, time.Now)
+		_, ok := g.Request(t.Context(), "lost", 1)
 		assert.Assert(t, ok)
 		began := time.Now()
-		_, ok = g.Ask(t.Context(), "next", 1)
+		_, ok = g.Request(t.Context(), "next", 1)
 		assert.Assert(t, ok)
 		assert.Equal(t, time.Since(began).Round(10*time.Millisecond), holdTimeout)
 	})
@@ -72,9 +72,9 @@
 // TestGiverLost falls back to this VM's own share.
 func TestGiverLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		turns := &Turns{
-			Self: "a", Local: NewGiver(3, time.Now), Share: NewGiver(1, time.Now),
-			Peers: lostPeers{}, Giver: func() coord.VMID { return "b" },
+		turns := &Coordinator{
+			Self: "a", Local: NewIssuer(3, time.Now), Fallback: NewIssuer(1, time.Now),
+			Peers: lostPeers{}, IssuerVM: func() coord.VMID { return "b" },
 		}
 		began := time.Now()
 		for range 2 {
--- a/internal/platform/contract_test.go
+++ b/internal/platform/contract_test.go
@@ -76,11 +76,11 @@
 
 func TestVMListContract(t *testing.T) {
 	p := start(t)
-	p.setVMs(standin.VM{ID: "a", Hall: "h", Address: "127.0.0.1:1", State: "live"}, standin.VM{ID: "b", Hall: "h", State: "leaving"})
+	p.setVMs(standin.VM{ID: "a", Zone: "h", Address: "127.0.0.1:1", State: "live"}, standin.VM{ID: "b", Zone: "h", State: "leaving"})
 	l, err := p.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, l.Vms[1].State, schema.VMState_VM_STATE_LEAVING)
-	p.setVMs(standin.VM{ID: "a", Hall: "h", State: "live"})
+	p.setVMs(standin.VM{ID: "a", Zone: "h", State: "live"})
 	next, err := p.List(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, next.Version > l.Version)
--- a/internal/records/guard.go
+++ b/internal/records/guard.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Runner returns the VM and its incarnation that a run's id names.
-func Runner(runID string) (vm coord.VMID, incarnation uint64) {
+// ParseRunID returns the VM and its incarnation that a run's id names.
+func ParseRunID(runID string) (vm coord.VMID, incarnation uint64) {
 	parts := strings.Split(runID, runSeparator)
 	if len(parts) < 2 {
 		return "", 0
@@ -97,9 +97,9 @@
 			ahead = v.ahead
 		}
 		if v.silent {
-			q.Silent()
+			q.RecordNoResponse()
 		} else {
-			q.Voted(s.cfg.Now(), v.vote)
+			q.RecordVote(s.cfg.Now(), v.vote)
 		}
 	}
 	return q, ahead
@@ -113,7 +113,7 @@
 	reply, err := s.call(ctx, vm, &schema.Call{Body: &schema.Call_RecordBegin{RecordBegin: begin}})
 	if err != nil {
 		v := vote{silent: true}
-		if strings.Contains(err.Error(), ErrListBehind) {
+		if strings.Contains(err.Error(), ListStaleMessage) {
 			v.ahead = vm
 		}
 		return v
@@ -122,7 +122,7 @@
 }
 
 func (s *Store) voteOf(r *schema.RecordState, key string) outcome.Vote {
-	out := outcome.Vote{Verdict: outcome.Verdict(r.GetVerdict()), Certain: r.GetCertain()}
+	out := outcome.Vote{Result: outcome.VoteResult(r.GetVerdict()), Authoritative: r.GetCertain()}
 	if r.GetFound() {
 		rec := s.fromMessage(&schema.Record{Key: key, State: r})
 		out.Record = &rec
@@ -161,5 +161,5 @@
 	}
 }
 
-// JoinPause is the time between two looks at a run that another try has open.
-const JoinPause = 100 * time.Millisecond
+// JoinPollInterval is the time between two looks at a run that another try has open.
+const JoinPollInterval = 100 * time.Millisecond
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -19,13 +19,13 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Caller asks other VMs.
-type Caller interface {
+// Peers asks other VMs.
+type Peers interface {
 	Call(ctx context.Context, vm coord.VMID, c *schema.Call) (*schema.Reply, error)
 }
 
-// Lists catches up with a newer VM list.
-type Lists interface {
+// ListSync catches up with a newer VM list.
+type ListSync interface {
 	PullList(ctx context.Context, vm coord.VMID)
 	Versions() (bundleVersion, listVersion uint64)
 }
@@ -36,8 +36,8 @@
 	// Incarnation of this process.
 	Incarnation uint64
 	Limits      outcome.Config
-	Peers       Caller
-	Lists       Lists
+	Peers       Peers
+	Lists       ListSync
 	Now         func() time.Time
 }
 
@@ -71,8 +71,8 @@
 	s.history.SetRetention(l.Retention)
 }
 
-// ListChanged takes a new VM list.
-func (s *Store) ListChanged(members []*membership.Member) {
+// SetMembers takes a new VM list.
+func (s *Store) SetMembers(members []*membership.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	set := outcome.NewHolderSet(members)
@@ -93,7 +93,7 @@
 
 func (s *Store) settleIfAll() {
 	if len(s.asked) == len(s.others) {
-		s.history.AllAnswered()
+		s.history.CompleteRecovery()
 	}
 }
 
@@ -102,7 +102,7 @@
 func (s *Store) Stats() (count, bytes int, settled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	settled = s.epoch > 0 && s.history.Whole(s.cfg.Now()) && len(s.asked) == len(s.others)
+	settled = s.epoch > 0 && s.history.Complete(s.cfg.Now()) && len(s.asked) == len(s.others)
 	return s.table.Len(), s.table.Bytes(), settled
 }
 
@@ -128,11 +128,11 @@
 func (s *Store) syncOnce(ctx context.Context) {
 	s.mu.Lock()
 	epoch := s.epoch
-	if !s.history.MayAsk(s.cfg.Now()) {
+	if !s.history.MayRequestRecords(s.cfg.Now()) {
 		s.mu.Unlock()
 		return
 	}
-	if len(s.asked) == len(s.others) && !s.history.Whole(s.cfg.Now()) {
+	if len(s.asked) == len(s.others) && !s.history.Complete(s.cfg.Now()) {
 		// Not whole by these answers; others may have become so since.
 		s.asked = map[coord.VMID]bool{}
 	}
@@ -151,7 +151,7 @@
 }
 
 // holderTimeout bounds one call to a holder.
-const holderTimeout = outcome.VoteLife
+const holderTimeout = outcome.VoteValidity
 
 func (s *Store) syncWith(ctx context.Context, vm coord.VMID, epoch int) {
 	reply, err := s.call(ctx, vm, &schema.Call{Body: &schema.Call_RecordSync{
@@ -163,14 +163,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range reply.GetRecords().GetRecords() {
-		s.table.Copy(s.cfg.Now(), s.fromMessage(r))
+		s.table.Merge(s.cfg.Now(), s.fromMessage(r))
 	}
 	if epoch != s.epoch {
 		return
 	}
 	s.asked[vm] = true
 	dump := reply.GetRecords()
-	s.history.Answered(vm, outcome.Giver{Life: dump.GetIncarnation(), Whole: dump.GetWhole(), Certifies: dump.GetCertifies()})
+	s.history.RecordResponse(vm, outcome.RecoverySource{Incarnation: dump.GetIncarnation(), Complete: dump.GetWhole(), ConfirmsFreshStart: dump.GetCertifies()})
 	s.settleIfAll()
 }
 
@@ -222,8 +222,8 @@
 	return a, nil
 }
 
-// ErrListBehind tells a caller that its VM list is older than the holder's.
-const ErrListBehind = "vm list behind"
+// ListStaleMessage tells a caller that its VM list is older than the holder's.
+const ListStaleMessage = "vm list behind"
 
 // Serve answers another VM's call about records. It returns nil for other calls.
 func (s *Store) Serve(ctx context.Context, from coord.VMID, c *schema.Call) *schema.Reply {
@@ -252,7 +252,7 @@
 		s.cfg.Lists.PullList(ctx, from)
 	}
 	if _, mine := s.cfg.Lists.Versions(); c.ListVersion != mine {
-		return &schema.Reply{Error: ErrListBehind, ListVersion: mine}
+		return &schema.Reply{Error: ListStaleMessage, ListVersion: mine}
 	}
 	return nil
 }
@@ -263,7 +263,7 @@
 	now := s.cfg.Now()
 	verdict, r := s.table.Begin(now, b.Key, b.RunId, b.Fingerprint)
 	state := stateMessage(r)
-	state.Certain = s.history.Certain(now, b.Key)
+	state.Certain = s.history.Authoritative(now, b.Key)
 	state.Verdict = int32(verdict)
 	return state
 }
@@ -305,8 +305,8 @@
 	defer s.mu.Unlock()
 	now, vm := s.cfg.Now(), coord.VMID(asker.Vm)
 	out := &schema.RecordDump{
-		Whole: s.history.Whole(now), Incarnation: s.cfg.Incarnation,
-		Certifies: s.history.Certifies(vm, asker.Incarnation),
+		Whole: s.history.Complete(now), Incarnation: s.cfg.Incarnation,
+		Certifies: s.history.ConfirmsFreshStart(vm, asker.Incarnation),
 	}
 	set := s.history.Current()
 	if set == nil {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,8 +21,8 @@
 type View struct {
 	Catalog *catalog.Catalog
 	Chooser *ownership.Chooser
-	// Hall of this VM, preferred for plain services.
-	Hall string
+	// Zone of this VM, preferred for plain services.
+	Zone string
 }
 
 // Router picks targets.
@@ -32,7 +32,7 @@
 
 	mu     sync.Mutex
 	sched  *placement.Scheduler
-	board  *placement.Board
+	board  *placement.LoadTracker
 	spread *placement.Spread
 	turn   uint64
 }
@@ -41,7 +41,7 @@
 func New(now func() time.Time) *Router {
 	return &Router{
 		sched: placement.Default(), now: now,
-		board:  placement.NewBoard(placement.DefaultBoardConfig()),
+		board:  placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
 		spread: placement.NewSpread(placement.DefaultSpreadConfig()),
 	}
 }
@@ -73,8 +73,8 @@
 	Address string
 }
 
-// Engine picks an engine for a model. Targets in avoid are passed over.
-func (r *Router) Engine(m catalog.Model, avoid []coord.TargetID) (Route, bool) {
+// PickEngine picks an engine for a model. Targets in avoid are passed over.
+func (r *Router) PickEngine(m catalog.Model, avoid []coord.TargetID) (Route, bool) {
 	v := r.view.Load()
 	pool := v.Catalog.Engines.Pool(m.Base)
 	if pool == nil {
@@ -84,7 +84,7 @@
 	q := r.query(m, avoid)
 	choice := r.sched.Pick(pool, r.board, &q)
 	if choice.OK {
-		r.board.Sent(choice.Target)
+		r.board.RecordSent(choice.Target)
 	}
 	r.mu.Unlock()
 	if !choice.OK {
@@ -97,13 +97,13 @@
 
 func (r *Router) query(m catalog.Model, avoid []coord.TargetID) placement.Query {
 	return placement.Query{
-		Key: m.Key, Halls: m.Halls, Spread: r.spread.Width(m.Key), Avoid: avoid, Now: r.now(),
+		Key: m.Key, Zones: m.ZoneMask, Spread: r.spread.Width(m.Key), Exclude: avoid, Now: r.now(),
 	}
 }
 
-// Service picks an instance of a plain service: in this VM's hall if one is fit
+// PickService picks an instance of a plain service: in this VM's hall if one is fit
 // there, in turn among equals.
-func (r *Router) Service(s *catalog.Service, avoid []coord.TargetID) (Route, bool) {
+func (r *Router) PickService(s *catalog.Service, avoid []coord.TargetID) (Route, bool) {
 	v := r.view.Load()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +112,7 @@
 	bestLocal := false
 	for i := range s.Targets {
 		t := s.Targets[(uint64(i)+r.turn)%uint64(len(s.Targets))]
-		local := t.Hall == v.Hall
+		local := t.Hall == v.Zone
 		if !r.fit(t, avoid) || (best != nil && (bestLocal || !local)) {
 			continue
 		}
@@ -133,35 +133,35 @@
 	return !t.Leaving && !r.board.Ejected(r.now(), t.ID)
 }
 
-// Heard takes what an owner told with an answer.
-func (r *Router) Heard(key uint64, h *schema.LoadHint) {
+// ObserveLoad takes what an owner told with an answer.
+func (r *Router) ObserveLoad(key uint64, h *schema.LoadHint) {
 	if h == nil {
 		return
 	}
 	id := coord.TargetID(h.Target)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.board.Heard(r.now(), id, int(h.Running), int(h.Queued))
+	r.board.ObserveLoad(r.now(), id, int(h.Running), int(h.Queued))
 	r.board.SetLeaving(id, h.Leaving)
-	r.spread.Heard(r.now(), key, int(h.SameAdapter), int(h.Batch))
+	r.spread.ObserveLoad(r.now(), key, int(h.SameAdapter), int(h.Batch))
 }
 
-// Ended notes whether a target served an attempt.
-func (r *Router) Ended(id coord.TargetID, served bool) (ejected bool) {
+// RecordResult notes whether a target served an attempt.
+func (r *Router) RecordResult(id coord.TargetID, served bool) (ejected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if served {
-		r.board.Succeeded(id)
+		r.board.RecordSuccess(id)
 		return false
 	}
-	return r.board.Failed(r.now(), id)
+	return r.board.RecordFailure(r.now(), id)
 }
 
 // Tick lets old knowledge fade. Call it about once a second.
 func (r *Router) Tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.board.Forget(r.now())
+	r.board.ExpireStale(r.now())
 	r.spread.Tick(r.now())
 }
 
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -13,11 +13,11 @@
 type reader struct {
 	file   string
 	fs     *findings.List
-	places map[string]findings.Place
+	places map[string]findings.Position
 }
 
 func newReader(file string, fs *findings.List) reader {
-	return reader{file: file, fs: fs, places: map[string]findings.Place{}}
+	return reader{file: file, fs: fs, places: map[string]findings.Position{}}
 }
 
 // read sets the fields of m from sections: a section names a field, its keys the
@@ -29,14 +29,14 @@
 		s := &sections[i]
 		f := fields.ByName(protoreflect.Name(s.Kind))
 		if f == nil || s.Label != "" {
-			p.fs.Add(s.Place, "unknown section%s", inifile.Suggest(s.Kind, sectionNames(fields)))
+			p.fs.Add(s.Position, "unknown section%s", inifile.Suggest(s.Kind, sectionNames(fields)))
 			continue
 		}
 		if before := seen[s.Kind]; before > 0 {
-			p.fs.Add(s.Place, "stands already on line %d", before)
+			p.fs.Add(s.Position, "stands already on line %d", before)
 			continue
 		}
-		seen[s.Kind] = s.Place.Line
+		seen[s.Kind] = s.Position.Line
 		inifile.Decode(s, m.Mutable(f).Message(), p.fs)
 		p.remember(s)
 	}
@@ -52,16 +52,16 @@
 
 func (p *reader) remember(s *inifile.Section) {
 	for _, k := range s.Keys {
-		p.places[s.Kind+"."+k.Name] = s.Place.WithKey(k.Name, k.Line)
+		p.places[s.Kind+"."+k.Name] = s.Position.WithKey(k.Name, k.Line)
 	}
 }
 
 // place returns where a key stands, or where it would have to.
-func (p *reader) place(section, key string) findings.Place {
+func (p *reader) place(section, key string) findings.Position {
 	if at, ok := p.places[section+"."+key]; ok {
 		return at
 	}
-	return findings.Place{File: p.file, Section: section, Key: key}
+	return findings.Position{File: p.file, Section: section, Key: key}
 }
 
 func (p *reader) required(section, key, value string) {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,9 +18,9 @@
 type EngineFaults struct {
 	// FailLoads makes that many loads fail.
 	FailLoads int
-	// CutAfter ends that many streams without an end mark after CutEvents.
-	CutAfter  int
-	CutEvents int
+	// TruncateStreams ends that many streams without an end mark after CutEvents.
+	TruncateStreams     int
+	TruncateAfterEvents int
 	// WrongAdapter makes answers name another adapter.
 	WrongAdapter bool
 	// NoResume forgets streams.
@@ -33,8 +33,8 @@
 type EngineConfig struct {
 	Base  string
 	Slots int
-	// RefusesOldFences says whether orders with old numbers are refused.
-	RefusesOldFences bool
+	// RejectsStaleTokens says whether orders with old numbers are refused.
+	RejectsStaleTokens bool
 	// TokenTime is the time of one token.
 	TokenTime time.Duration
 	Weights   *WeightStore
@@ -146,7 +146,7 @@
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	s := target.State{BootID: e.boot, Fence: e.fence, Leaving: e.faults.Leaving, Slots: e.cfg.Slots}
+	s := target.State{BootID: e.boot, FencingToken: e.fence, Leaving: e.faults.Leaving, Slots: e.cfg.Slots}
 	for n := range e.resident {
 		s.Resident = append(s.Resident, n)
 	}
@@ -165,9 +165,9 @@
 			writeError(w, http.StatusUnauthorized, "unauthorized", 0)
 			return
 		}
-		fence, _ := strconv.ParseUint(r.Header.Get(target.FenceHeader), 10, 64)
+		fence, _ := strconv.ParseUint(r.Header.Get(target.FencingTokenHeader), 10, 64)
 		if seen, ok := e.passFence(fence); !ok {
-			writeError(w, http.StatusConflict, target.EngineStaleFence, seen)
+			writeError(w, http.StatusConflict, target.EngineStaleToken, seen)
 			return
 		}
 		do(w, r)
@@ -177,7 +177,7 @@
 func (e *Engine) passFence(fence uint64) (seen uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.cfg.RefusesOldFences {
+	if !e.cfg.RejectsStaleTokens {
 		return 0, true
 	}
 	if fence < e.fence {
@@ -315,9 +315,9 @@
 	e.mu.Lock()
 	e.streams[a.id] = s
 	cut := -1
-	if e.faults.CutAfter > 0 {
-		e.faults.CutAfter--
-		cut = e.faults.CutEvents
+	if e.faults.TruncateStreams > 0 {
+		e.faults.TruncateStreams--
+		cut = e.faults.TruncateAfterEvents
 	}
 	e.mu.Unlock()
 	s.events = a.events()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -18,7 +18,7 @@
 // VM is one line of the published list.
 type VM struct {
 	ID      string `json:"id"`
-	Hall    string `json:"hall"`
+	Zone    string `json:"hall"`
 	Address string `json:"address"`
 	State   string `json:"state"`
 }
--- a/internal/target/contract_test.go
+++ b/internal/target/contract_test.go
@@ -32,7 +32,7 @@
 		return real
 	}
 	s := httptest.NewServer(standin.NewEngine(standin.EngineConfig{
-		Base: "base-8b", Slots: 2, RefusesOldFences: refuses, Weights: standin.NewWeightStore(time.Millisecond),
+		Base: "base-8b", Slots: 2, RejectsStaleTokens: refuses, Weights: standin.NewWeightStore(time.Millisecond),
 	}))
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
@@ -61,7 +61,7 @@
 	}
 	r := e.Run(t.Context(), target.Run{
 		Forward: &schema.Forward{RequestId: t.Name(), Method: http.MethodPost, Path: "/v1/chat/completions", Body: []byte(body), Stream: stream},
-		Name:    name, Model: model, Fence: 10, Attempt: a,
+		Name:    name, Model: model, FencingToken: 10, Attempt: a,
 	}, out)
 	return out, r, a
 }
@@ -74,7 +74,7 @@
 		assert.NilError(t, e.Claim(ctx, 10))
 		s, err := e.State(ctx)
 		assert.NilError(t, err)
-		assert.Equal(t, s.Fence, uint64(10))
+		assert.Equal(t, s.FencingToken, uint64(10))
 		assert.Assert(t, s.BootID != "")
 	})
 	t.Run("a load is resident when the order ends", func(t *testing.T) {
@@ -131,7 +131,7 @@
 				func(ctx context.Context, fence uint64) error { return e.Unload(ctx, fence, "a@1") },
 			} {
 				err := order(t.Context(), 19)
-				var stale *target.StaleFence
+				var stale *target.StaleTokenError
 				assert.Equal(t, errors.As(err, &stale), row.refuses, "%v", err)
 				if stale != nil {
 					assert.Equal(t, stale.Seen, uint64(20))
@@ -160,6 +160,6 @@
 	s.Close()
 	e := target.NewEngine(&schema.Target{Address: address}, &http.Transport{}, "")
 	_, r, a := run(t, e, "a@1", "a@1", false)
-	assert.Equal(t, r.Failure.GetCode(), forward.CodeTargetDown)
+	assert.Equal(t, r.Failure.GetCode(), forward.CodeTargetUnreachable)
 	assert.Equal(t, a.Outcome(), attempt.NotRun)
 }
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -20,32 +20,32 @@
 
 // Paths and headers of the engine's interface.
 const (
-	StatePath    = "/v1/state"
-	RolePath     = "/v1/role"
-	LoadPath     = "/v1/load_lora_adapter"
-	UnloadPath   = "/v1/unload_lora_adapter"
-	StreamPath   = "/v1/streams/"
-	FenceHeader  = "X-Fencing-Number"
-	RequestIDKey = "X-Request-Id"
-	NotRunHeader = "X-Not-Run"
-	LastEventID  = "Last-Event-Id"
+	StatePath          = "/v1/state"
+	RolePath           = "/v1/role"
+	LoadPath           = "/v1/load_lora_adapter"
+	UnloadPath         = "/v1/unload_lora_adapter"
+	StreamPath         = "/v1/streams/"
+	FencingTokenHeader = "X-Fencing-Number"
+	RequestIDKey       = "X-Request-Id"
+	NotRunHeader       = "X-Not-Run"
+	LastEventID        = "Last-Event-Id"
 )
 
 // Codes in an engine's error bodies.
 const (
 	EngineNotLoaded  = "adapter_not_loaded"
-	EngineStaleFence = "stale_fence"
+	EngineStaleToken = "stale_fence"
 )
 
 // State is an engine's report of itself. It lags.
 type State struct {
 	// BootID changes when the engine restarts.
-	BootID   string   `json:"boot_id"`
-	Fence    uint64   `json:"fence"`
-	Leaving  bool     `json:"leaving"`
-	Slots    int      `json:"slots"`
-	Resident []string `json:"resident"`
-	Running  int      `json:"running"`
+	BootID       string   `json:"boot_id"`
+	FencingToken uint64   `json:"fence"`
+	Leaving      bool     `json:"leaving"`
+	Slots        int      `json:"slots"`
+	Resident     []string `json:"resident"`
+	Running      int      `json:"running"`
 }
 
 // LoadOrder asks an engine to load an adapter.
@@ -80,13 +80,13 @@
 	} `json:"error"`
 }
 
-// StaleFence is the error of an order that the engine refused for its number.
-type StaleFence struct {
+// StaleTokenError is the error of an order that the engine refused for its number.
+type StaleTokenError struct {
 	Seen uint64
 }
 
 // Error names the number that the engine has seen.
-func (e *StaleFence) Error() string {
+func (e *StaleTokenError) Error() string {
 	return "the target has seen fencing number " + strconv.FormatUint(e.Seen, 10)
 }
 
@@ -151,7 +151,7 @@
 	defer cancel()
 	refusal := &ErrorBody{}
 	resp, err := e.orders.R().SetContext(ctx).
-		SetHeader(FenceHeader, strconv.FormatUint(fence, 10)).
+		SetHeader(FencingTokenHeader, strconv.FormatUint(fence, 10)).
 		SetBody(body).SetError(refusal).Post(path)
 	if err != nil {
 		return errors.Wrapf(err, "order %s", path)
@@ -159,8 +159,8 @@
 	if !resp.IsError() {
 		return nil
 	}
-	if refusal.Error.Code == EngineStaleFence {
-		return &StaleFence{Seen: refusal.Error.Fence}
+	if refusal.Error.Code == EngineStaleToken {
+		return &StaleTokenError{Seen: refusal.Error.Fence}
 	}
 	return errors.Newf("order %s: status %d %s %s", path, resp.StatusCode(), refusal.Error.Code, refusal.Error.Message)
 }
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -32,8 +32,8 @@
 	Name string
 	// Model is the name that the caller used and gets back.
 	Model string
-	// Fence is the owner's number.
-	Fence uint64
+	// FencingToken is the owner's number.
+	FencingToken uint64
 	// Attempt is told how far the request got.
 	Attempt *attempt.Attempt
 }
@@ -80,7 +80,7 @@
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(RequestIDKey, r.Forward.RequestId)
-	req.Header.Set(FenceHeader, strconv.FormatUint(r.Fence, 10))
+	req.Header.Set(FencingTokenHeader, strconv.FormatUint(r.FencingToken, 10))
 	return r.engine.runs.Do(req)
 }
 
@@ -98,20 +98,20 @@
 
 // failed is the result of a request whose answer never began.
 func (r *runner) failed(ctx context.Context, err error) forward.Result {
-	r.Attempt.Broken()
-	return Broken(ctx, r.Attempt, err)
+	r.Attempt.ConnectionLost()
+	return FailureResult(ctx, r.Attempt, err)
 }
 
-// Broken is the result of an attempt that ended without a whole answer.
-func Broken(ctx context.Context, a *attempt.Attempt, err error) forward.Result {
+// FailureResult is the result of an attempt that ended without a whole answer.
+func FailureResult(ctx context.Context, a *attempt.Attempt, err error) forward.Result {
 	outcome := OutcomeOf(a)
 	if ctx.Err() != nil {
 		return forward.Fail(forward.CodeTimeout, http.StatusGatewayTimeout, outcome, 0, err.Error())
 	}
 	if outcome == schema.Outcome_OUTCOME_NOT_RUN {
-		return forward.Fail(forward.CodeTargetDown, http.StatusServiceUnavailable, outcome, time.Second, err.Error())
+		return forward.Fail(forward.CodeTargetUnreachable, http.StatusServiceUnavailable, outcome, time.Second, err.Error())
 	}
-	return forward.Fail(forward.CodeCut, http.StatusBadGateway, outcome, 0, err.Error())
+	return forward.Fail(forward.CodeAnswerTruncated, http.StatusBadGateway, outcome, 0, err.Error())
 }
 
 // OutcomeOf gives what is known of an attempt as a message.
@@ -135,14 +135,14 @@
 	refusal := &ErrorBody{}
 	_ = json.Unmarshal(body, refusal)
 	code := refusal.Error.Code
-	if code == EngineNotLoaded || code == EngineStaleFence || resp.Header.Get(NotRunHeader) == "true" {
+	if code == EngineNotLoaded || code == EngineStaleToken || resp.Header.Get(NotRunHeader) == "true" {
 		r.Attempt.Refused()
 		return forward.Fail(refusalCode(code), http.StatusServiceUnavailable,
 			schema.Outcome_OUTCOME_NOT_RUN, time.Second, refusal.Error.Message)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		r.Attempt.Broken()
-		return forward.Fail(forward.CodeCut, http.StatusBadGateway,
+		r.Attempt.ConnectionLost()
+		return forward.Fail(forward.CodeAnswerTruncated, http.StatusBadGateway,
 			schema.Outcome_OUTCOME_UNKNOWN, 0, "the engine answered with status "+strconv.Itoa(resp.StatusCode))
 	}
 	return r.passOn(resp, body)
@@ -160,16 +160,16 @@
 	r.Attempt.Started()
 	r.Attempt.Finished()
 	if err := r.sink.Head(resp.StatusCode, contentType(resp)); err != nil {
-		return CallerGone(err)
+		return CallerDisconnected(err)
 	}
 	if err := r.sink.Data(body); err != nil {
-		return CallerGone(err)
+		return CallerDisconnected(err)
 	}
 	return forward.Result{}
 }
 
-// CallerGone is the result of an answer that nobody takes any more.
-func CallerGone(err error) forward.Result {
+// CallerDisconnected is the result of an answer that nobody takes any more.
+func CallerDisconnected(err error) forward.Result {
 	return forward.Fail(forward.CodeCancelled, statusClientClosed, schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
 }
 
@@ -201,7 +201,7 @@
 }
 
 func (r *runner) wrongAdapter(got string) forward.Result {
-	r.Attempt.Broken()
+	r.Attempt.ConnectionLost()
 	return forward.Fail(forward.CodeWrongAdapter, http.StatusBadGateway, schema.Outcome_OUTCOME_UNKNOWN, 0,
 		"asked for "+r.Name+", the answer names "+got)
 }
--- a/internal/target/service.go
+++ b/internal/target/service.go
@@ -37,8 +37,8 @@
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Content-Length": true,
 }
 
-// PassableHeaders returns the headers that go on to the next hop.
-func PassableHeaders(h http.Header) []*schema.Header {
+// ForwardableHeaders returns the headers that go on to the next hop.
+func ForwardableHeaders(h http.Header) []*schema.Header {
 	out := make([]*schema.Header, 0, len(h))
 	for name, values := range h {
 		if hopHeaders[name] {
@@ -64,8 +64,8 @@
 	req.Header.Set(RequestIDKey, f.RequestId)
 	resp, err := s.client.Do(req)
 	if err != nil {
-		a.Broken()
-		return Broken(ctx, a, err)
+		a.ConnectionLost()
+		return FailureResult(ctx, a, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(NotRunHeader) == "true" && resp.StatusCode >= http.StatusInternalServerError {
@@ -77,17 +77,17 @@
 }
 
 func copyAnswer(ctx context.Context, resp *http.Response, a *attempt.Attempt, sink forward.Sink) forward.Result {
-	if err := sink.Head(resp.StatusCode, PassableHeaders(resp.Header)); err != nil {
-		a.Broken()
-		return CallerGone(err)
+	if err := sink.Head(resp.StatusCode, ForwardableHeaders(resp.Header)); err != nil {
+		a.ConnectionLost()
+		return CallerDisconnected(err)
 	}
 	buf := make([]byte, copyBuffer)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			if sinkErr := sink.Data(buf[:n]); sinkErr != nil {
-				a.Broken()
-				return CallerGone(sinkErr)
+				a.ConnectionLost()
+				return CallerDisconnected(sinkErr)
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -95,8 +95,8 @@
 			return forward.Result{}
 		}
 		if err != nil {
-			a.Broken()
-			return Broken(ctx, a, err)
+			a.ConnectionLost()
+			return FailureResult(ctx, a, err)
 		}
 	}
 }
--- a/internal/target/stream.go
+++ b/internal/target/stream.go
@@ -27,8 +27,8 @@
 	case errors.Is(err, errWrongAdapter):
 		return r.wrongAdapter(err.Error())
 	case errors.Is(err, errSink):
-		r.Attempt.Broken()
-		return CallerGone(err)
+		r.Attempt.ConnectionLost()
+		return CallerDisconnected(err)
 	}
 	return r.failed(ctx, err)
 }
