--- a/Makefile
+++ b/Makefile
@@ -39,6 +39,10 @@
 	@if [ -n '$(KNOWN_RED)' ]; then echo "passed over, see KNOWN-RED.txt:"; cat KNOWN-RED.txt; fi
 	$(GO) test -race -timeout 240s $(if $(KNOWN_RED),-skip '$(KNOWN_RED)') $(PACKAGES)
 
+# The language server, for renames. It has a module of its own, as it needs another golang.org/x/tools than staticcheck.
+$(TOOLS)/gopls:
+	cd tools/gopls && GOWORK=off GOBIN=$(TOOLS) $(GO) install golang.org/x/tools/gopls
+
 $(TOOLS)/buf:
 	cd tools && GOWORK=off GOBIN=$(TOOLS) $(GO) install github.com/bufbuild/buf/cmd/buf
 
