--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -18,154 +18,157 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// admission asks the acting VM for verdicts. It implements gateway.Admission.
+// admission requests decisions from the leader. It implements gateway.Admission.
 type admission Node
 
-// Admit asks the acting VM, or decides by what this VM remembers when that one
-// is silent. A VM that is not asked any more says so; the next one is asked.
+// Admit requests a decision from the leader. If the leader is unresponsive, Admit decides locally
+// from the state that this VM holds. If the queried VM is no longer the leader, Admit queries its
+// successor.
 func (ad *admission) Admit(ctx context.Context, r *gateway.AdmitRequest) gateway.Decision {
 	n := (*Node)(ad)
-	var lost outage
+	var outage leaderOutage
 	for ctx.Err() == nil {
-		acting := *n.acting.Load()
-		v, answered, patience := n.askActing(ctx, acting, r)
+		leader := *n.leader.Load()
+		d, answered, retryFor := n.admitAtLeader(ctx, leader, r)
 		if answered {
-			return n.remember(r, v)
+			return n.recordDecision(r, d)
 		}
-		if r.Plain && (acting == "" || patience == 0) {
-			// A VM that knows nobody to ask yet has hardly anything in its reserve.
-			if v = n.placeAlone(r); !v.OverQuota || patience == 0 {
-				return v
+		if r.Plain && (leader == "" || retryFor == 0) {
+			// A VM that does not know a leader yet has hardly any units in its reserve, so an
+			// over-quota result is not final.
+			if d = n.placeLocally(r); !d.OverQuota || retryFor == 0 {
+				return d
 			}
 		}
-		lost.note(n.now(), acting)
+		outage.recordFailure(n.now(), leader)
 		select {
 		case <-ctx.Done():
-		case <-time.After(askAgain):
+		case <-time.After(admitRetryInterval):
 		}
-		if lost.over(n.now(), *n.acting.Load(), patience) {
-			return n.remember(r, n.placeAlone(r))
+		if outage.exceeds(n.now(), *n.leader.Load(), retryFor) {
+			return n.recordDecision(r, n.placeLocally(r))
 		}
 	}
-	return refused(r, "verdict_timeout", unknownPause)
+	return refusalDecision(r, "verdict_timeout", noDecisionRetryDelay)
 }
 
-// outage is how long a request has been without an answer of the VM that it is to ask.
-type outage struct {
+// leaderOutage records since when requests to the leader have gone unanswered.
+type leaderOutage struct {
 	vm    coord.VMID
 	since time.Time
 }
 
-// note takes a question to a VM that was not answered. The time before it was spent
-// waiting for a verdict, and does not count.
-func (o *outage) note(now time.Time, vm coord.VMID) {
+// recordFailure records a request that the given VM did not answer. Time spent waiting for a
+// decision before the first failure does not count as an outage.
+func (o *leaderOutage) recordFailure(now time.Time, vm coord.VMID) {
 	if vm != o.vm || o.since.IsZero() {
 		o.vm, o.since = vm, now
 	}
 }
 
-// over reports whether the VM that acts now is still the one without an answer, and has
-// been for longer than patience.
-func (o *outage) over(now time.Time, acting coord.VMID, patience time.Duration) bool {
-	return acting == o.vm && now.Sub(o.since) > patience
+// exceeds reports whether the given leader is still the VM that does not answer, and has not
+// answered for longer than limit.
+func (o *leaderOutage) exceeds(now time.Time, leader coord.VMID, limit time.Duration) bool {
+	return leader == o.vm && now.Sub(o.since) > limit
 }
 
-// Times of asking for a verdict.
+// Timing of requests for decisions.
 const (
-	// askAgain is the pause before the acting VM is asked again: views of the fleet
-	// agree within some heartbeats.
-	askAgain = 30 * time.Millisecond
-	// unknownPatience is how long a request waits for this VM to know whom to ask: a
-	// start takes less.
-	unknownPatience = time.Second
-	// silentPatience is how long it waits for an acting VM that cannot be reached:
-	// a session that broke is made again in less.
-	silentPatience = 300 * time.Millisecond
+	// admitRetryInterval is the delay before the leader is queried again. The VMs' views of the
+	// fleet converge within a few heartbeats.
+	admitRetryInterval = 30 * time.Millisecond
+	// unknownLeaderTimeout is how long a request waits until this VM knows a leader. Startup takes
+	// less than that.
+	unknownLeaderTimeout = time.Second
+	// unreachableLeaderTimeout is how long a request waits for a leader that cannot be reached. A
+	// broken session is reestablished within that time.
+	unreachableLeaderTimeout = 300 * time.Millisecond
 )
 
-// errQuiet ends the wait for a verdict of a VM that has been silent for a while.
-var errQuiet = errors.New("the scheduler is silent")
+// errLeaderUnresponsive is the cause that cancels the wait for a decision of an unresponsive
+// leader.
+var errLeaderUnresponsive = errors.New("the scheduler is silent")
 
-// askActing asks the acting VM once. Without an answer, patience is how long to go on
-// asking it.
-func (n *Node) askActing(ctx context.Context, acting coord.VMID, r *gateway.AdmitRequest) (v gateway.Decision, answered bool, patience time.Duration) {
-	if acting == "" {
-		return v, false, unknownPatience
+// admitAtLeader sends one admission request to the leader. If answered is false, retryFor is how
+// long to keep retrying.
+func (n *Node) admitAtLeader(ctx context.Context, leader coord.VMID, r *gateway.AdmitRequest) (d gateway.Decision, answered bool, retryFor time.Duration) {
+	if leader == "" {
+		return d, false, unknownLeaderTimeout
 	}
 	a := n.admitMessage(r)
-	asked := n.now()
-	verdict, err := n.verdictOf(ctx, acting, r, a)
+	requestedAt := n.now()
+	verdict, err := n.requestDecision(ctx, leader, r, a)
 	if err == nil && verdict.Reason != scheduler.ReasonNotLeader {
-		out := verdictFromProto(r, a.Ticket, acting, verdict)
-		out.NetworkDelay = max(n.now().Sub(asked)-time.Duration(verdict.WaitedMs)*time.Millisecond, 0)
-		out.DecidedAt = n.now().Add(-out.NetworkDelay)
-		n.metrics.DecisionDelay.Observe(out.NetworkDelay)
-		return out, true, 0
+		decision := decisionFromProto(r, a.Ticket, leader, verdict)
+		decision.NetworkDelay = max(n.now().Sub(requestedAt)-time.Duration(verdict.WaitedMs)*time.Millisecond, 0)
+		decision.DecidedAt = n.now().Add(-decision.NetworkDelay)
+		n.metrics.DecisionDelay.Observe(decision.NetworkDelay)
+		return decision, true, 0
 	}
 	if err == nil {
-		return v, false, unknownPatience
+		return d, false, unknownLeaderTimeout
 	}
-	n.sendDone(acting, &schema.Done{Ticket: a.Ticket, Service: r.Service, Ending: schema.Ending_ENDING_ABANDONED, Plain: r.Plain})
+	n.sendDone(leader, &schema.Done{Ticket: a.Ticket, Service: r.Service, Ending: schema.Ending_ENDING_ABANDONED, Plain: r.Plain})
 	if ctx.Err() == nil {
-		n.log.SchedulerUnresponsive(r.Request.ID, string(acting), err)
+		n.log.SchedulerUnresponsive(r.Request.ID, string(leader), err)
 	}
-	if errors.Is(err, errQuiet) {
-		return v, false, 0
+	if errors.Is(err, errLeaderUnresponsive) {
+		return d, false, 0
 	}
-	return v, false, silentPatience
+	return d, false, unreachableLeaderTimeout
 }
 
-// verdictOf asks the acting VM and waits for its verdict. It does not wait for a VM that
-// is silent if this VM can place the request by itself.
-func (n *Node) verdictOf(ctx context.Context, acting coord.VMID, r *gateway.AdmitRequest, a *schema.Admit) (*schema.Verdict, error) {
-	if acting == coord.VMID(n.settings.Vm.Id) {
-		return n.admit(ctx, acting, a), nil
+// requestDecision sends an admission request to the leader and waits for its decision. If this VM
+// can place the request locally, the wait ends when the leader becomes unresponsive.
+func (n *Node) requestDecision(ctx context.Context, leader coord.VMID, r *gateway.AdmitRequest, a *schema.Admit) (*schema.Verdict, error) {
+	if leader == coord.VMID(n.settings.Vm.Id) {
+		return n.admit(ctx, leader, a), nil
 	}
-	quiet, done := n.silence.wait(n.now())
+	unresponsive, done := n.leaderMonitor.addWaiter(n.now())
 	defer done()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if n.placesAlone(r) {
-		stop := context.AfterFunc(quiet, func() { cancel(errQuiet) })
+	if n.canPlaceLocally(r) {
+		stop := context.AfterFunc(unresponsive, func() { cancel(errLeaderUnresponsive) })
 		defer stop()
 	}
-	reply, err := n.mesh.Call(ctx, acting, &schema.Call{Body: &schema.Call_Admit{Admit: a}})
+	reply, err := n.mesh.Call(ctx, leader, &schema.Call{Body: &schema.Call_Admit{Admit: a}})
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			return nil, cause
 		}
 		return nil, err
 	}
-	n.silence.from(n.now(), acting)
+	n.leaderMonitor.recordResponse(n.now(), leader)
 	if reply.GetVerdict() == nil {
-		return nil, errors.Newf("%s answered without a verdict", acting)
+		return nil, errors.Newf("%s replied without a decision", leader)
 	}
 	return reply.GetVerdict(), nil
 }
 
-// watchSilence watches the acting VM, unless it is this one.
-func (n *Node) watchSilence(acting coord.VMID) {
-	if acting == coord.VMID(n.settings.Vm.Id) {
-		acting = ""
+// monitorLeader monitors the given leader for responses, unless it is this VM.
+func (n *Node) monitorLeader(leader coord.VMID) {
+	if leader == coord.VMID(n.settings.Vm.Id) {
+		leader = ""
 	}
-	n.silence.watch(n.now(), acting)
+	n.leaderMonitor.watch(n.now(), leader)
 }
 
-// remember keeps where an adapter is, for when the scheduler is silent, and what
-// runs, for the scheduler that comes after this one. A scheduler that did not give the
-// verdict is told at once, in case it can be reached: it must not unload the adapter.
-func (n *Node) remember(r *gateway.AdmitRequest, v gateway.Decision) gateway.Decision {
-	if v.Target == "" || r.Plain {
-		return v
-	}
-	n.lastHomes.Add(r.Request.Adapter, lastHome{target: v.Target, version: v.AdapterVersion})
-	n.running.add(r, v)
-	if acting := *n.acting.Load(); acting != "" && string(acting) != v.DecidedBy {
-		go n.tell(acting, &schema.Call{Body: &schema.Call_Running{Running: &schema.Running{
-			Grants: []*schema.Grant{grantMessage(n.now(), r, v)},
+// recordDecision records the granted target of a model request: where the adapter is served, for
+// decisions without a leader, and which requests run, for the next leader. If the current leader
+// did not make the decision, it is notified at once, because it must not unload the adapter.
+func (n *Node) recordDecision(r *gateway.AdmitRequest, d gateway.Decision) gateway.Decision {
+	if d.Target == "" || r.Plain {
+		return d
+	}
+	n.lastReplicas.Add(r.Request.Adapter, lastReplica{target: d.Target, version: d.AdapterVersion})
+	n.running.add(r, d)
+	if leader := *n.leader.Load(); leader != "" && string(leader) != d.DecidedBy {
+		go n.notify(leader, &schema.Call{Body: &schema.Call_Running{Running: &schema.Running{
+			Grants: []*schema.Grant{grantMessage(n.now(), r, d)},
 		}}})
 	}
-	return v
+	return d
 }
 
 func (n *Node) admitMessage(r *gateway.AdmitRequest) *schema.Admit {
@@ -173,7 +176,7 @@
 		Ticket: n.tickets.Add(1), Service: r.Service,
 		Model: r.Request.Adapter.Model, Adapter: r.Request.Adapter.Adapter,
 		PromptTokens: int32(r.Request.PromptTokens), OutputTokens: int32(r.Request.OutputTokens),
-		Priority: int32(r.Route.Priority), AimMs: aimMs(r),
+		Priority: int32(r.Route.Priority), AimMs: remainingObjectiveMs(r),
 		LeftMs:  n.until(r.Deadline).Milliseconds(),
 		Exclude: r.Exclude, Resting: r.BackedOff, Plain: r.Plain, Team: r.Team, Cost: r.Cost, Zone: n.settings.Vm.Zone,
 		Content: r.Content[:],
@@ -187,16 +190,17 @@
 	return a
 }
 
-// aimMs is what is left of a request's objective, counted from when its caller first asked;
-// 0: it has none. One that is over is as good as one of a ms.
-func aimMs(r *gateway.AdmitRequest) int64 {
+// remainingObjectiveMs returns what is left of a request's latency objective in milliseconds,
+// counted from the caller's first attempt; 0 means that it has none. An objective that has passed
+// counts as 1 ms.
+func remainingObjectiveMs(r *gateway.AdmitRequest) int64 {
 	if r.Route.LatencyObjective <= 0 {
 		return 0
 	}
 	return max((r.Route.LatencyObjective - r.Age).Milliseconds(), 1)
 }
 
-func verdictFromProto(r *gateway.AdmitRequest, ticket uint64, from coord.VMID, v *schema.Verdict) gateway.Decision {
+func decisionFromProto(r *gateway.AdmitRequest, ticket uint64, from coord.VMID, v *schema.Verdict) gateway.Decision {
 	return gateway.Decision{
 		Service: r.Service, Ticket: ticket, DecidedBy: string(from),
 		Target: v.Target, Address: v.Address, AdapterVersion: v.AdapterVersion, Priority: int(v.Priority),
@@ -206,72 +210,73 @@
 	}
 }
 
-func refused(r *gateway.AdmitRequest, reason string, retry time.Duration) gateway.Decision {
-	return gateway.Decision{Service: r.Service, RetryAfter: retry, Reason: reason}
+func refusalDecision(r *gateway.AdmitRequest, reason string, retryAfter time.Duration) gateway.Decision {
+	return gateway.Decision{Service: r.Service, RetryAfter: retryAfter, Reason: reason}
 }
 
-// lastHome is where requests for an adapter were sent last.
-type lastHome struct {
+// lastReplica is the target that last received requests for an adapter, and the adapter's version
+// there.
+type lastReplica struct {
 	target  string
 	version int64
 }
 
-// maxLastHomes bounds what a VM remembers of verdicts.
-const maxLastHomes = 4096
+// maxLastReplicas bounds the number of adapters whose last replica a VM remembers.
+const maxLastReplicas = 4096
 
-// placesAlone reports whether this VM knows a target for a request by itself.
-func (n *Node) placesAlone(r *gateway.AdmitRequest) bool {
+// canPlaceLocally reports whether this VM can choose a target for a request without the leader.
+func (n *Node) canPlaceLocally(r *gateway.AdmitRequest) bool {
 	if r.Plain || r.Request.Adapter.IsBase() {
 		return true
 	}
-	t, _ := n.knownHome(r)
+	t, _ := n.knownReplica(r)
 	return t != nil
 }
 
-// knownHome returns the target that served a request's adapter last, if it can be used,
-// and the adapter's version there; or nil.
-func (n *Node) knownHome(r *gateway.AdmitRequest) (t *fleet.Target, version int64) {
-	home, known := n.lastHomes.Get(r.Request.Adapter)
+// knownReplica returns the target that last served a request's adapter and the adapter's version
+// there. It returns nil if the target is unknown or cannot be used.
+func (n *Node) knownReplica(r *gateway.AdmitRequest) (t *fleet.Target, version int64) {
+	replica, known := n.lastReplicas.Get(r.Request.Adapter)
 	if !known {
 		return nil, 0
 	}
-	if t = n.feed.Directory().Targets[home.target]; !usable(t, r) {
+	if t = n.feed.Directory().Targets[replica.target]; !isUsable(t, r) {
 		return nil, 0
 	}
-	return t, home.version
+	return t, replica.version
 }
 
-// lastKnown sends requests where they were sent before, and those for a base model
-// to any target that holds it.
-func (n *Node) lastKnown(r *gateway.AdmitRequest) gateway.Decision {
-	v := gateway.Decision{
+// chooseKnownTarget places a request without the leader: at the target that last served its
+// adapter, or, if it asks for a base model, at any target that holds the model.
+func (n *Node) chooseKnownTarget(r *gateway.AdmitRequest) gateway.Decision {
+	d := gateway.Decision{
 		Service: r.Service, DecidedBy: n.settings.Vm.Id, Ticket: n.tickets.Add(1), DecidedAt: n.now(),
 		Priority:  scheduler.EnginePriority(r.Route.Priority),
 		StoreCopy: events.StoreCopy{Revision: n.feed.Revision(), Age: n.feed.Age()},
 	}
-	if t, version := n.knownHome(r); t != nil {
-		v.Target, v.Address, v.AdapterVersion = t.ID, t.Address, version
-		return v
+	if t, version := n.knownReplica(r); t != nil {
+		d.Target, d.Address, d.AdapterVersion = t.ID, t.Address, version
+		return d
 	}
 	if !r.Request.Adapter.IsBase() {
-		return refused(r, "scheduler_silent", unknownPause)
+		return refusalDecision(r, "scheduler_silent", noDecisionRetryDelay)
 	}
 	dir := n.feed.Directory()
 	var ids []string
 	for _, t := range dir.TargetsOf(r.Service) {
-		if usable(t, r) && holdsModel(t, r.Request.Adapter.Model) {
+		if isUsable(t, r) && holdsModel(t, r.Request.Adapter.Model) {
 			ids = append(ids, t.ID)
 		}
 	}
 	if len(ids) == 0 {
-		return refused(r, "scheduler_silent", unknownPause)
+		return refusalDecision(r, "scheduler_silent", noDecisionRetryDelay)
 	}
-	v.Target = rendezvous.Winner(ids, rendezvous.Hash(r.Request.ID))
-	v.Address = dir.Targets[v.Target].Address
-	return v
+	d.Target = rendezvous.Winner(ids, rendezvous.Hash(r.Request.ID))
+	d.Address = dir.Targets[d.Target].Address
+	return d
 }
 
-func usable(t *fleet.Target, r *gateway.AdmitRequest) bool {
+func isUsable(t *fleet.Target, r *gateway.AdmitRequest) bool {
 	return t != nil && t.State == fleet.TargetReady && !slices.Contains(r.Exclude, t.ID) && !slices.Contains(r.BackedOff, t.ID) &&
 		!slices.Contains(r.RateLimited, t.ID)
 }
@@ -280,45 +285,46 @@
 	return slices.ContainsFunc(t.Resident, func(m fleet.ResidentModel) bool { return m.Name == model })
 }
 
-// Done tells the VM that gave the verdict how the request ended.
-func (ad *admission) Done(v gateway.Decision, how scheduler.Ending) {
-	if v.Ticket == 0 {
+// Done reports the end of a request to the VM that made the decision.
+func (ad *admission) Done(d gateway.Decision, ending scheduler.Ending) {
+	if d.Ticket == 0 {
 		return // a refusal
 	}
 	n := (*Node)(ad)
-	n.running.remove(v.Ticket)
-	done := &schema.Done{Ticket: v.Ticket, Service: v.Service, Ending: protoEndings[how]}
-	n.sendDone(coord.VMID(v.DecidedBy), done)
-	// An acting VM that did not give the verdict was told that the request runs.
-	if acting := *n.acting.Load(); acting != "" && string(acting) != v.DecidedBy {
-		n.sendDone(acting, done)
+	n.running.remove(d.Ticket)
+	done := &schema.Done{Ticket: d.Ticket, Service: d.Service, Ending: protoEndings[ending]}
+	n.sendDone(coord.VMID(d.DecidedBy), done)
+	// A leader that did not make the decision was notified that the request runs.
+	if leader := *n.leader.Load(); leader != "" && string(leader) != d.DecidedBy {
+		n.sendDone(leader, done)
 	}
 }
 
-// ChosenLocally takes a target that this VM chose without a verdict: what ends under the request is to be
-// known here.
-func (ad *admission) ChosenLocally(r *gateway.AdmitRequest, v gateway.Decision) {
+// ChosenLocally records a target that this VM chose without a decision of the leader, so that a
+// crash of the target can be attributed to the request.
+func (ad *admission) ChosenLocally(r *gateway.AdmitRequest, d gateway.Decision) {
 	n := (*Node)(ad)
-	n.contents.began(coord.VMID(v.DecidedBy), v.Ticket, r.Content[:], v.Target, n.until(r.Deadline))
+	n.quarantine.requestStarted(coord.VMID(d.DecidedBy), d.Ticket, r.Content[:], d.Target, n.until(r.Deadline))
 }
 
-// FirstEvent tells the VM that gave the verdict that the first event has come.
-func (ad *admission) FirstEvent(v gateway.Decision) {
-	if v.Ticket == 0 {
+// FirstEvent reports the first event of a request to the VM that made the decision.
+func (ad *admission) FirstEvent(d gateway.Decision) {
+	if d.Ticket == 0 {
 		return
 	}
-	(*Node)(ad).sendDone(coord.VMID(v.DecidedBy), &schema.Done{
-		Ticket: v.Ticket, Service: v.Service, Ending: schema.Ending_ENDING_FIRST_EVENT,
+	(*Node)(ad).sendDone(coord.VMID(d.DecidedBy), &schema.Done{
+		Ticket: d.Ticket, Service: d.Service, Ending: schema.Ending_ENDING_FIRST_EVENT,
 	})
 }
 
-// DonePlain tells the VM that gave the verdict how the request ended.
-func (ad *admission) DonePlain(v gateway.Decision, how balance.Ending, took time.Duration) {
-	if v.Ticket == 0 {
+// DonePlain reports the end of a request to a plain service, and its duration, to the VM that made
+// the decision.
+func (ad *admission) DonePlain(d gateway.Decision, ending balance.Ending, took time.Duration) {
+	if d.Ticket == 0 {
 		return // a refusal
 	}
-	(*Node)(ad).sendDone(coord.VMID(v.DecidedBy), &schema.Done{
-		Ticket: v.Ticket, Service: v.Service, Ending: protoPlainEndings[how], Plain: true,
+	(*Node)(ad).sendDone(coord.VMID(d.DecidedBy), &schema.Done{
+		Ticket: d.Ticket, Service: d.Service, Ending: protoPlainEndings[ending], Plain: true,
 		TookMs: float64(took) / float64(time.Millisecond),
 	})
 }
@@ -328,5 +334,5 @@
 		n.done(vm, d)
 		return
 	}
-	go n.tell(vm, &schema.Call{Body: &schema.Call_Done{Done: d}})
+	go n.notify(vm, &schema.Call{Body: &schema.Call_Done{Done: d}})
 }
--- a/internal/edge/beats.go
+++ b/internal/edge/beats.go
@@ -11,53 +11,54 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// beatLoop tells others the roster and keeps view and duty current.
-func (n *Node) beatLoop(ctx context.Context) {
+// heartbeatLoop runs heartbeat rounds until the context ends. They spread the roster and keep this
+// VM's view of the fleet and the leadership current.
+func (n *Node) heartbeatLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(n.heartbeat()):
+		case <-time.After(n.currentHeartbeatInterval()):
 		}
-		n.beat()
+		n.runHeartbeatRound()
 	}
 }
 
-func (n *Node) heartbeat() time.Duration {
-	if n.now().Sub(n.began) < startTime {
-		return startHeartbeat
+func (n *Node) currentHeartbeatInterval() time.Duration {
+	if n.now().Sub(n.startedAt) < startupTime {
+		return startupHeartbeatInterval
 	}
-	if n.vms.Load() >= largeFleet {
-		return slowHeartbeat
+	if n.vmCount.Load() >= largeFleetSize {
+		return largeFleetHeartbeatInterval
 	}
-	return heartbeat
+	return heartbeatInterval
 }
 
-func (n *Node) beat() {
+func (n *Node) runHeartbeatRound() {
 	now := n.now()
 	n.mu.Lock()
 	changes, paused := n.roster.Tick(now)
 	if paused {
-		n.duty.HandleSuspension(now)
+		n.leadership.HandleSuspension(now)
 		n.roster.SetFencingToken(0)
 	}
-	n.lastTick = now
+	n.lastRosterTick = now
 	n.mu.Unlock()
 	if paused {
 		n.log.Paused(suspectAfter / 2)
 	}
 	n.onRosterChanges(changes)
-	n.updateDuty()
+	n.updateLeadership()
 	n.quotas.tick()
-	n.rateLimits.tick(n.heardShare())
+	n.rateLimits.tick(n.responsiveShare())
 	n.feed.Expire()
-	for _, vm := range n.listeners() {
-		go n.beatTo(vm)
+	for _, vm := range n.gossipPeers() {
+		go n.sendHeartbeat(vm)
 	}
 }
 
-// listeners picks the VMs to tell this time.
-func (n *Node) listeners() []coord.VMID {
+// gossipPeers selects the VMs that receive this round's heartbeat.
+func (n *Node) gossipPeers() []coord.VMID {
 	n.mu.Lock()
 	var live []roster.Entry
 	for _, m := range n.roster.Members() {
@@ -66,40 +67,41 @@
 		}
 	}
 	n.mu.Unlock()
-	return pickListeners(n.settings.Vm.Id, n.settings.Vm.Zone, live)
+	return selectGossipPeers(n.settings.Vm.Id, n.settings.Vm.Zone, live)
 }
 
-// pickListeners picks most of the VMs to tell from this VM's zone, since bytes between zones
-// are charged for, and one anywhere. In a large fleet that one is this VM's partner in some
-// zone, always the same: with any of 194 others, each VM had a session open to each, and kept
-// it. Every zone has a partner in every other for each of its VMs.
-func pickListeners(self, zone string, live []roster.Entry) []coord.VMID {
-	var near, all []coord.VMID
+// selectGossipPeers selects fanout VMs: most from this VM's zone, since traffic between zones is
+// charged for, and one from anywhere. In a large fleet that one is this VM's fixed peer in some
+// other zone: when it was any of 194 other VMs, each VM opened a session to every other and kept
+// it. Every zone has a peer in every other zone for each of its VMs.
+func selectGossipPeers(self, zone string, live []roster.Entry) []coord.VMID {
+	var sameZone, candidates []coord.VMID
 	for _, e := range live {
-		all = append(all, e.ID)
+		candidates = append(candidates, e.ID)
 		if e.Zone == zone {
-			near = append(near, e.ID)
+			sameZone = append(sameZone, e.ID)
 		}
 	}
-	if len(live) >= largeFleet {
-		all = partners(self, zone, live)
+	if len(live) >= largeFleetSize {
+		candidates = crossZonePeers(self, zone, live)
 	}
-	return firstDistinct(append(shuffled(near, fanout-1), shuffled(all, fanout)...), fanout)
+	return firstDistinct(append(randomSample(sameZone, fanout-1), randomSample(candidates, fanout)...), fanout)
 }
 
-// firstDistinct returns the first VMs of a list without repetitions, so many at most.
-func firstDistinct(vms []coord.VMID, most int) []coord.VMID {
+// firstDistinct returns the first distinct VMs of a list, at most limit of them.
+func firstDistinct(vms []coord.VMID, limit int) []coord.VMID {
 	var out []coord.VMID
 	for _, vm := range vms {
-		if len(out) < most && !slices.Contains(out, vm) {
+		if len(out) < limit && !slices.Contains(out, vm) {
 			out = append(out, vm)
 		}
 	}
 	return out
 }
 
-// partners returns one live VM of each other zone.
-func partners(self, zone string, live []roster.Entry) []coord.VMID {
+// crossZonePeers returns one live VM of each zone other than the given one. The choice is stable
+// for self.
+func crossZonePeers(self, zone string, live []roster.Entry) []coord.VMID {
 	zones := map[string][]coord.VMID{}
 	for _, e := range live {
 		if e.Zone != zone {
@@ -113,49 +115,50 @@
 	return out
 }
 
-// beatAll tells every VM at once.
-func (n *Node) beatAll() {
-	for _, vm := range n.others() {
-		go n.beatTo(vm)
+// sendHeartbeatToAll sends a heartbeat to every live VM.
+func (n *Node) sendHeartbeatToAll() {
+	for _, vm := range n.livePeers() {
+		go n.sendHeartbeat(vm)
 	}
 }
 
-// beatTo sends one heartbeat unless the last one is still on its way.
-func (n *Node) beatTo(vm coord.VMID) {
-	if _, busy := n.beating.LoadOrStore(vm, true); busy {
+// sendHeartbeat sends a heartbeat to a VM unless the previous one is still in flight.
+func (n *Node) sendHeartbeat(vm coord.VMID) {
+	if _, inFlight := n.heartbeatsInFlight.LoadOrStore(vm, true); inFlight {
 		return
 	}
-	defer n.beating.Delete(vm)
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	defer n.heartbeatsInFlight.Delete(vm)
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	err := n.mesh.SendHeartbeat(ctx, vm, &schema.Heartbeat{Vm: n.settings.Vm.Id, Roster: n.tellRoster()})
+	err := n.mesh.SendHeartbeat(ctx, vm, &schema.Heartbeat{Vm: n.settings.Vm.Id, Roster: n.rosterDigest()})
 	if err != nil {
 		n.log.PeerCallFailed("heartbeat", string(vm), err)
 	}
 }
 
-// onRosterChanges logs what changed and lets go of VMs that are away.
+// onRosterChanges logs roster changes, sends this VM's state to VMs that have joined, restarted or
+// become responsive again, and releases the state of VMs that are unresponsive, gone or restarted.
 func (n *Node) onRosterChanges(changes []roster.Change) {
 	for _, c := range changes {
 		if c.NewIncarnation != 0 || c.Old == "" || c.Old == roster.Suspect.String() {
-			n.contents.tellTo(c.VM)
-			go n.tellLeaving(c.VM, n.feed.Leaving())
-			n.rateLimits.tellTo(c.VM)
+			n.quarantine.sendFindingsTo(c.VM)
+			go n.sendLeavingTargets(c.VM, n.feed.Leaving())
+			n.rateLimits.sendLimitsTo(c.VM)
 		}
 		n.log.PeerChanged(string(c.VM), c.Old, c.New, c.UnresponsiveFor)
 		if c.New == roster.Suspect.String() || c.New == "" {
 			n.mesh.Disconnect(c.VM)
-			n.schedules.silent(c.VM)
-			n.lines.drop(c.VM, allTickets)
-			n.contents.drop(c.VM, allTickets)
+			n.schedulers.vmUnresponsive(c.VM)
+			n.queues.removeVM(c.VM, aboveAllTickets)
+			n.quarantine.forgetVM(c.VM, aboveAllTickets)
 		}
 		if c.NewIncarnation != 0 {
-			n.schedules.restarted(c.VM, c.NewIncarnation)
-			n.lines.drop(c.VM, c.NewIncarnation)
-			n.contents.drop(c.VM, c.NewIncarnation)
+			n.schedulers.vmRestarted(c.VM, c.NewIncarnation)
+			n.queues.removeVM(c.VM, c.NewIncarnation)
+			n.quarantine.forgetVM(c.VM, c.NewIncarnation)
 		}
 	}
 	if len(changes) > 0 {
-		n.updateReaders()
+		n.updateStoreWatchers()
 	}
 }
--- a/internal/edge/contents.go
+++ b/internal/edge/contents.go
@@ -11,179 +11,184 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// contents keeps requests that end their targets from further ones: at the acting VM with what
-// runs in the whole fleet, at the others with what that one told. Lock order: contents.mu is
-// taken alone.
-type contents struct {
+// contentQuarantine keeps requests whose content crashes targets away from further targets. The
+// leader judges by the requests that run in the whole fleet; the other VMs hold the findings that
+// the leader sent. Lock order: no other lock is acquired while contentQuarantine.mu is held.
+type contentQuarantine struct {
 	node *Node
 
 	mu    sync.Mutex
 	table *quarantine.Table
-	// refused counts the requests that were refused for it here.
+	// refused counts the requests that this VM refused because of their content.
 	refused int64
 }
 
-func newContents(n *Node) *contents { return &contents{node: n, table: quarantine.New()} }
+func newContentQuarantine(n *Node) *contentQuarantine {
+	return &contentQuarantine{node: n, table: quarantine.New()}
+}
 
 func digestOf(b []byte) (d quarantine.Digest) {
 	copy(d[:], b)
 	return d
 }
 
-// check returns a refusal if a request's content is held, or suspect and under way already.
-// Targets where other suspects run are excluded for one that is suspect.
-func (c *contents) check(from coord.VMID, a *schema.Admit) *schema.Verdict {
+// check returns a refusal if a request's content is blocked, or if it is suspect and another
+// request with it is in flight. For suspect content it excludes the targets where other suspects
+// run.
+func (q *contentQuarantine) check(from coord.VMID, a *schema.Admit) *schema.Verdict {
 	d := digestOf(a.Content)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	reason, retry := c.table.Check(c.node.now(), quarantine.Key{VM: from, Ticket: a.Ticket}, d)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	reason, retry := q.table.Check(q.node.now(), quarantine.Key{VM: from, Ticket: a.Ticket}, d)
 	if reason != "" {
-		c.refused++
-		return refusal(reason, retry)
+		q.refused++
+		return refusalMessage(reason, retry)
 	}
-	a.Exclude = append(a.Exclude, c.table.TargetsToAvoid(d)...)
+	a.Exclude = append(a.Exclude, q.table.TargetsToAvoid(d)...)
 	return nil
 }
 
-// alone is check at a VM that gets no verdicts.
-func (c *contents) alone(content quarantine.Digest) (reason string, retry time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if reason, retry = c.table.CheckWithoutLeader(c.node.now(), content); reason != "" {
-		c.refused++
+// checkWithoutLeader is check for a VM that gets no decisions from the leader.
+func (q *contentQuarantine) checkWithoutLeader(content quarantine.Digest) (reason string, retry time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if reason, retry = q.table.CheckWithoutLeader(q.node.now(), content); reason != "" {
+		q.refused++
 	}
 	return reason, retry
 }
 
-// began takes that a request goes to a target, and the time until its deadline.
-func (c *contents) began(from coord.VMID, ticket uint64, content []byte, target string, left time.Duration) {
-	now := c.node.now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.table.RequestStarted(now, quarantine.Key{VM: from, Ticket: ticket}, digestOf(content), target, now.Add(left))
+// requestStarted records that a request is sent to a target, and the time left until its deadline.
+func (q *contentQuarantine) requestStarted(from coord.VMID, ticket uint64, content []byte, target string, timeLeft time.Duration) {
+	now := q.node.now()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.table.RequestStarted(now, quarantine.Key{VM: from, Ticket: ticket}, digestOf(content), target, now.Add(timeLeft))
 }
 
-// ended takes the end of a request.
-func (c *contents) ended(from coord.VMID, ticket uint64, how schema.Ending) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.table.RequestEnded(c.node.now(), quarantine.Key{VM: from, Ticket: ticket},
-		how == schema.Ending_ENDING_OK, how == schema.Ending_ENDING_BROKE)
+// requestEnded records the end of a request.
+func (q *contentQuarantine) requestEnded(from coord.VMID, ticket uint64, ending schema.Ending) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.table.RequestEnded(q.node.now(), quarantine.Key{VM: from, Ticket: ticket},
+		ending == schema.Ending_ENDING_OK, ending == schema.Ending_ENDING_BROKE)
 }
 
-func (c *contents) drop(vm coord.VMID, before uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.table.ForgetVM(vm, before)
+func (q *contentQuarantine) forgetVM(vm coord.VMID, beforeTicket uint64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.table.ForgetVM(vm, beforeTicket)
 }
 
-// maxTold bounds the findings of one message: some 40 bytes each.
-const maxTold = 512
+// maxFindingsPerMessage bounds the findings in one message. Each takes about 40 bytes.
+const maxFindingsPerMessage = 512
 
-// tick judges what broke off, and tells the VMs that may act next of suspects, and all of what
-// is held.
-func (c *contents) tick() {
-	c.mu.Lock()
-	found := c.table.Tick(c.node.now())
-	c.mu.Unlock()
+// tick evaluates requests whose connections broke. It sends new findings to the VMs that may lead
+// next, and blocked contents to all VMs.
+func (q *contentQuarantine) tick() {
+	q.mu.Lock()
+	found := q.table.Tick(q.node.now())
+	q.mu.Unlock()
 	if len(found) == 0 {
 		return
 	}
 	for _, f := range found {
-		c.node.log.ContentSuspected(hex.EncodeToString(f.Digest[:]), f.Targets, f.BlockedFor)
+		q.node.log.ContentSuspected(hex.EncodeToString(f.Digest[:]), f.Targets, f.BlockedFor)
 	}
-	all, held := suspectsToProto(found)
-	c.node.tellSuspects(all, held)
+	all, blocked := suspectsToProto(found)
+	q.node.sendSuspects(all, blocked)
 }
 
-// suspectsToProto makes messages of all findings, and of what is held.
-func suspectsToProto(found []quarantine.Finding) (all, held *schema.Suspects) {
-	all, held = &schema.Suspects{}, &schema.Suspects{}
+// suspectsToProto returns a message with all findings, up to maxFindingsPerMessage, and one with
+// the blocked contents.
+func suspectsToProto(found []quarantine.Finding) (all, blocked *schema.Suspects) {
+	all, blocked = &schema.Suspects{}, &schema.Suspects{}
 	for _, f := range found {
 		s := &schema.Suspect{Content: f.Digest[:], Targets: f.Targets, HeldMs: f.BlockedFor.Milliseconds()}
-		if len(all.Suspects) < maxTold {
+		if len(all.Suspects) < maxFindingsPerMessage {
 			all.Suspects = append(all.Suspects, s)
 		}
 		if f.BlockedFor > 0 {
-			held.Suspects = append(held.Suspects, s)
+			blocked.Suspects = append(blocked.Suspects, s)
 		}
 	}
-	return all, held
+	return all, blocked
 }
 
-// tellTo tells a VM what is known that has just started or is heard again: it may decide next, and
-// has forgotten or not heard what was found. On a played day the VM that decided was killed, was the
-// one that decides again 2 s later, and let three more engines end under a content that was held.
-func (c *contents) tellTo(vm coord.VMID) {
-	c.mu.Lock()
-	found := c.table.Findings(c.node.now())
-	c.mu.Unlock()
+// sendFindingsTo sends the known findings to a VM that has just started or is responsive again. It
+// may become the leader and has lost or missed the findings: in one run, a leader that was killed
+// became the leader again 2 s later and let three more engines crash under blocked content.
+func (q *contentQuarantine) sendFindingsTo(vm coord.VMID) {
+	q.mu.Lock()
+	found := q.table.Findings(q.node.now())
+	q.mu.Unlock()
 	if all, _ := suspectsToProto(found); len(all.Suspects) > 0 {
-		go c.node.tell(vm, &schema.Call{Body: &schema.Call_Suspects{Suspects: all}})
+		go q.node.notify(vm, &schema.Call{Body: &schema.Call_Suspects{Suspects: all}})
 	}
 }
 
-// learn takes what the acting VM found.
-func (c *contents) learn(m *schema.Suspects) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// mergeFindings applies findings that the leader sent.
+func (q *contentQuarantine) mergeFindings(m *schema.Suspects) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for _, s := range m.Suspects {
-		held := time.Duration(min(s.HeldMs, math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
-		c.table.Merge(c.node.now(), quarantine.Finding{Digest: digestOf(s.Content), Targets: s.Targets, BlockedFor: held})
+		blockedFor := time.Duration(min(s.HeldMs, math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
+		q.table.Merge(q.node.now(), quarantine.Finding{Digest: digestOf(s.Content), Targets: s.Targets, BlockedFor: blockedFor})
 	}
 }
 
-// stats counts the contents that are suspect, those that are held, and the requests refused.
-func (c *contents) stats() (suspect, held, refused int64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, f := range c.table.Findings(c.node.now()) {
+// stats returns the number of suspect contents, of blocked contents and of refused requests.
+func (q *contentQuarantine) stats() (suspect, blocked, refused int64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, f := range q.table.Findings(q.node.now()) {
 		if f.BlockedFor > 0 {
-			held++
+			blocked++
 		} else {
 			suspect++
 		}
 	}
-	return suspect, held, c.refused
+	return suspect, blocked, q.refused
 }
 
-// BlockedContent is a content that is held, for operators.
+// BlockedContent describes a blocked content for operators.
 type BlockedContent struct {
 	Targets []string
 	SinceMs int64
 	LeftMs  int64
 }
 
-// held lists contents that are held, by their digests.
-func (c *contents) held() map[string]BlockedContent {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// blocked returns the blocked contents by digest in hexadecimal.
+func (q *contentQuarantine) blocked() map[string]BlockedContent {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	out := map[string]BlockedContent{}
-	for _, f := range c.table.Findings(c.node.now()) {
+	for _, f := range q.table.Findings(q.node.now()) {
 		if f.BlockedFor > 0 {
 			out[hex.EncodeToString(f.Digest[:])] = BlockedContent{
-				Targets: f.Targets, SinceMs: c.node.now().Sub(f.Since).Milliseconds(), LeftMs: f.BlockedFor.Milliseconds(),
+				Targets: f.Targets, SinceMs: q.node.now().Sub(f.Since).Milliseconds(), LeftMs: f.BlockedFor.Milliseconds(),
 			}
 		}
 	}
 	return out
 }
 
-// tellSuspects tells all findings to the VMs that may act next, and what is held to the others.
-func (n *Node) tellSuspects(all, held *schema.Suspects) {
+// sendSuspects sends all findings to the VMs that may lead next, and the blocked contents to the
+// others.
+func (n *Node) sendSuspects(all, blocked *schema.Suspects) {
 	n.mu.Lock()
-	strong := map[coord.VMID]bool{}
+	candidates := map[coord.VMID]bool{}
 	for _, e := range n.roster.LeaderCandidates() {
-		strong[e.ID] = true
+		candidates[e.ID] = true
 	}
 	n.mu.Unlock()
-	for _, vm := range n.others() {
-		m := held
-		if strong[vm] {
+	for _, vm := range n.livePeers() {
+		m := blocked
+		if candidates[vm] {
 			m = all
 		}
 		if len(m.Suspects) > 0 {
-			go n.tell(vm, &schema.Call{Body: &schema.Call_Suspects{Suspects: m}})
+			go n.notify(vm, &schema.Call{Body: &schema.Call_Suspects{Suspects: m}})
 		}
 	}
 }
--- a/internal/edge/contents_test.go
+++ b/internal/edge/contents_test.go
@@ -19,8 +19,8 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// aloneNode is a VM that reaches no other one, and knows one engine.
-func aloneNode(t *testing.T) (n *Node, now *time.Time) {
+// disconnectedNode returns a VM that reaches no other VM and knows one engine.
+func disconnectedNode(t *testing.T) (n *Node, now *time.Time) {
 	t.Helper()
 	at := time.Unix(1_000_000, 0)
 	now = &at
@@ -28,16 +28,16 @@
 	t.Cleanup(log.Close)
 	n = &Node{
 		settings: &schema.EdgeSettings{Vm: &schema.EdgeVM{Id: "a"}}, log: log, metrics: gateway.NewMetrics(),
-		now: func() time.Time { return *now }, silence: newSilence(),
+		now: func() time.Time { return *now }, leaderMonitor: newLeaderMonitor(),
 	}
-	n.running = newRunning(n.now)
-	n.acting.Store(new(coord.VMID))
+	n.running = newRunningRequests(n.now)
+	n.leader.Store(new(coord.VMID))
 	n.roster = roster.New(roster.Config{Start: at}, roster.Entry{ID: "a"})
 	n.quotas = newQuotas(n, &schema.EdgeQuota{})
-	n.lines, n.schedules, n.contents = newLines(n), newSchedules(n), newContents(n)
-	homes, err := lru.New[coord.AdapterRef, lastHome](maxLastHomes)
+	n.queues, n.schedulers, n.quarantine = newQueues(n), newSchedulers(n), newContentQuarantine(n)
+	replicas, err := lru.New[coord.AdapterRef, lastReplica](maxLastReplicas)
 	assert.NilError(t, err)
-	n.lastHomes = homes
+	n.lastReplicas = replicas
 	engine := &fleet.Target{ID: "e", Service: "models", Resident: []fleet.ResidentModel{{Name: "m"}}}
 	n.feed = feed.New(feed.Config{
 		Decode:   func(fleet.Item) (fleet.Decoded, error) { return fleet.Decoded{Target: engine}, nil },
@@ -47,35 +47,36 @@
 	return n, now
 }
 
-// TestVMAloneLetsACrashingRequestThrough: nobody gives it verdicts, and nobody else hears of what
-// ends there.
-func TestVMAloneLetsACrashingRequestThrough(t *testing.T) {
+// TestDisconnectedVMBlocksCrashingRequestAfterOneTarget guards against a request that crashes one
+// target after the other: without a leader, no other VM learns of the crashes, so this VM must
+// record them itself.
+func TestDisconnectedVMBlocksCrashingRequestAfterOneTarget(t *testing.T) {
 	for name, plain := range map[string]bool{"at engines": false, "at plain targets": true} {
 		t.Run(name, func(t *testing.T) {
-			n, now := aloneNode(t)
+			n, now := disconnectedNode(t)
 			ad := (*admission)(n)
-			ends := 0
+			crashes := 0
 			for range 10 {
 				r := &gateway.AdmitRequest{
 					Service: "models", Plain: plain, Route: &fleet.Route{}, Deadline: now.Add(time.Second), Content: quarantine.Digest{1},
 					Request: &fleet.Request{Adapter: fleet.AdapterRef{Model: "m"}},
 				}
-				v := n.placeAlone(r)
-				if v.Target == "" && !v.LocalChoice {
+				d := n.placeLocally(r)
+				if d.Target == "" && !d.LocalChoice {
 					continue
 				}
-				ends++
+				crashes++
 				if plain {
-					v.Target = "p"
-					ad.ChosenLocally(r, v)
-					ad.DonePlain(v, balance.Disconnected, 0)
+					d.Target = "p"
+					ad.ChosenLocally(r, d)
+					ad.DonePlain(d, balance.Disconnected, 0)
 				} else {
-					ad.Done(v, scheduler.EndedDisconnected)
+					ad.Done(d, scheduler.EndedDisconnected)
 				}
 				*now = now.Add(time.Second)
-				n.contents.tick()
+				n.quarantine.tick()
 			}
-			assert.Equal(t, ends, 1)
+			assert.Equal(t, crashes, 1)
 		})
 	}
 }
--- a/internal/edge/endings.go
+++ b/internal/edge/endings.go
@@ -6,7 +6,7 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// protoEndings translates endings at engines for the protocol, and endings back.
+// protoEndings maps endings of requests to engines to their wire values; endings is its inverse.
 var protoEndings = map[scheduler.Ending]schema.Ending{
 	scheduler.EndedOK:           schema.Ending_ENDING_OK,
 	scheduler.EndedBusy:         schema.Ending_ENDING_BUSY,
@@ -20,7 +20,8 @@
 
 var endings = inverse(protoEndings)
 
-// protoPlainEndings translates endings at plain targets for the protocol, and plainEndings back.
+// protoPlainEndings maps endings of requests to plain targets to their wire values; plainEndings is
+// its inverse.
 var protoPlainEndings = map[balance.Ending]schema.Ending{
 	balance.OK:           schema.Ending_ENDING_OK,
 	balance.Busy:         schema.Ending_ENDING_BUSY,
@@ -33,7 +34,7 @@
 
 var plainEndings = inverse(protoPlainEndings)
 
-// inverse swaps keys and values, which are all different.
+// inverse returns a map with keys and values swapped. The values of m must be distinct.
 func inverse[A, B comparable](m map[A]B) map[B]A {
 	out := make(map[B]A, len(m))
 	for a, b := range m {
@@ -42,7 +43,7 @@
 	return out
 }
 
-// notRun are the endings after which a request has certainly not run.
+// notRun holds the endings after which a request has certainly not run.
 var notRun = map[schema.Ending]bool{
 	schema.Ending_ENDING_BUSY: true, schema.Ending_ENDING_MISPLACED: true,
 	schema.Ending_ENDING_UNREACHABLE: true, schema.Ending_ENDING_WITHDRAWN: true,
--- a/internal/edge/gauges.go
+++ b/internal/edge/gauges.go
@@ -6,7 +6,7 @@
 	"github.com/junctionfold/junctionfold/coord/scheduler"
 )
 
-// publishGauges adds the state of the parts to the metrics.
+// publishGauges adds the state of the node's parts to the metrics.
 func (n *Node) publishGauges() {
 	n.metrics.Gauge("open_requests", n.gateway.OpenRequests)
 	n.metrics.Gauge("peer_sessions", func() int64 { return int64(n.mesh.Sessions()) })
@@ -15,31 +15,31 @@
 	n.metrics.Gauge("feed_revision", func() int64 { return int64(n.feed.Revision().Number()) })
 	n.metrics.Gauge("feed_era", func() int64 { return int64(n.feed.Revision().Epoch()) })
 	n.metrics.Gauge("feed_age_ms", func() int64 { return n.feed.Age().Milliseconds() })
-	n.metrics.Gauge("keys_within_ms", keysWithin(n.settings.Times).Milliseconds)
+	n.metrics.Gauge("keys_within_ms", maxKeyAge(n.settings.Times).Milliseconds)
 	n.metrics.Gauge("feed_proven_ms", func() int64 { return n.feed.ConfirmedAge().Milliseconds() })
 	n.metrics.Gauge("feed_items_refused", n.feed.RefusedItems)
 	n.metrics.Gauge("targets_leaving", func() int64 { return int64(len(n.feed.Leaving())) })
 	n.metrics.Gauge("targets_resting", n.gateway.BackedOff)
 	n.metrics.Gauge("targets_rate_limited", func() int64 { return int64(len(n.rateLimits.Limited())) })
 	n.metrics.Map.Set("rate_limits", expvar.Func(func() any { rates, _ := n.rateLimits.current(); return rates }))
-	n.metrics.Gauge("plain_waiting", func() int64 { return int64(n.lines.stats().Waiting) })
-	n.metrics.Gauge("plain_running", func() int64 { return int64(n.lines.stats().Running) })
-	n.metrics.Gauge("plain_limit", func() int64 { return int64(n.lines.stats().Limit) })
-	n.metrics.Gauge("plain_work_ms", func() int64 { return n.lines.stats().ServiceTime.Milliseconds() })
-	n.metrics.Gauge("contents_suspect", func() int64 { suspect, _, _ := n.contents.stats(); return suspect })
-	n.metrics.Gauge("contents_held", func() int64 { _, held, _ := n.contents.stats(); return held })
-	n.metrics.Gauge("contents_refused_total", func() int64 { _, _, refused := n.contents.stats(); return refused })
-	n.metrics.Map.Set("held_contents", expvar.Func(func() any { return n.contents.held() }))
-	n.metrics.Map.Set("teams", expvar.Func(func() any { return n.quotas.rows() }))
-	n.metrics.Gauge("scheduler_waiting", func() int64 { return int64(n.schedules.stats().Waiting) })
-	n.metrics.Gauge("adapter_loads", func() int64 { return int64(n.schedules.stats().Loads) })
-	for _, why := range scheduler.FreedByValues() {
-		n.metrics.Gauge("places_freed_by_"+why.String(), func() int64 { return n.schedules.stats().Freed[why] })
+	n.metrics.Gauge("plain_waiting", func() int64 { return int64(n.queues.stats().Waiting) })
+	n.metrics.Gauge("plain_running", func() int64 { return int64(n.queues.stats().Running) })
+	n.metrics.Gauge("plain_limit", func() int64 { return int64(n.queues.stats().Limit) })
+	n.metrics.Gauge("plain_work_ms", func() int64 { return n.queues.stats().ServiceTime.Milliseconds() })
+	n.metrics.Gauge("contents_suspect", func() int64 { suspect, _, _ := n.quarantine.stats(); return suspect })
+	n.metrics.Gauge("contents_held", func() int64 { _, blocked, _ := n.quarantine.stats(); return blocked })
+	n.metrics.Gauge("contents_refused_total", func() int64 { _, _, refused := n.quarantine.stats(); return refused })
+	n.metrics.Map.Set("held_contents", expvar.Func(func() any { return n.quarantine.blocked() }))
+	n.metrics.Map.Set("teams", expvar.Func(func() any { return n.quotas.accounts() }))
+	n.metrics.Gauge("scheduler_waiting", func() int64 { return int64(n.schedulers.stats().Waiting) })
+	n.metrics.Gauge("adapter_loads", func() int64 { return int64(n.schedulers.stats().Loads) })
+	for _, reason := range scheduler.FreedByValues() {
+		n.metrics.Gauge("places_freed_by_"+reason.String(), func() int64 { return n.schedulers.stats().Freed[reason] })
 	}
-	n.metrics.Gauge("adapter_loads_limit", func() int64 { return int64(n.schedules.stats().MaxLoads) })
-	n.metrics.Gauge("adapter_load_ms", func() int64 { return n.schedules.stats().ColdLoad.Milliseconds() })
-	n.metrics.Gauge("adapter_load_kept_ms", func() int64 { return n.schedules.stats().WarmLoad.Milliseconds() })
-	n.metrics.Gauge("fleet_vms", n.vms.Load)
+	n.metrics.Gauge("adapter_loads_limit", func() int64 { return int64(n.schedulers.stats().MaxLoads) })
+	n.metrics.Gauge("adapter_load_ms", func() int64 { return n.schedulers.stats().ColdLoad.Milliseconds() })
+	n.metrics.Gauge("adapter_load_kept_ms", func() int64 { return n.schedulers.stats().WarmLoad.Milliseconds() })
+	n.metrics.Gauge("fleet_vms", n.vmCount.Load)
 	n.metrics.Gauge("config_version", func() int64 {
 		if c := n.feed.Directory().Config; c != nil {
 			return int64(c.Version)
--- a/internal/edge/heartbeat_test.go
+++ b/internal/edge/heartbeat_test.go
@@ -7,22 +7,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHeartbeatIsQuickAtTheStart: VMs that start together must find each other soon.
-func TestHeartbeatIsQuickAtTheStart(t *testing.T) {
-	began := time.Unix(1_000_000, 0)
+// TestHeartbeatIntervalIsShortAtStartup checks the heartbeat intervals. VMs that start together
+// must discover each other quickly.
+func TestHeartbeatIntervalIsShortAtStartup(t *testing.T) {
+	startedAt := time.Unix(1_000_000, 0)
 	for _, row := range []struct {
-		name string
-		up   time.Duration
-		vms  int64
-		want time.Duration
+		name   string
+		uptime time.Duration
+		vms    int64
+		want   time.Duration
 	}{
-		{"just started", 0, 6, startHeartbeat},
-		{"just started, in a large fleet", startTime - 1, 90, startHeartbeat},
-		{"a small fleet", startTime, 6, heartbeat},
-		{"a large fleet", startTime, 90, slowHeartbeat},
+		{"just started", 0, 6, startupHeartbeatInterval},
+		{"just started, in a large fleet", startupTime - 1, 90, startupHeartbeatInterval},
+		{"a small fleet", startupTime, 6, heartbeatInterval},
+		{"a large fleet", startupTime, 90, largeFleetHeartbeatInterval},
 	} {
-		n := &Node{began: began, now: func() time.Time { return began.Add(row.up) }}
-		n.vms.Store(row.vms)
-		assert.Equal(t, n.heartbeat(), row.want, row.name)
+		n := &Node{startedAt: startedAt, now: func() time.Time { return startedAt.Add(row.uptime) }}
+		n.vmCount.Store(row.vms)
+		assert.Equal(t, n.currentHeartbeatInterval(), row.want, row.name)
 	}
 }
--- a/internal/edge/join.go
+++ b/internal/edge/join.go
@@ -9,84 +9,84 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Times of joining the fleet.
+// Timing of joins through the seeds.
 const (
-	// seedEvery is the time between two tries to join through the seeds.
-	seedEvery = 500 * time.Millisecond
-	// firstSeedEvery is the same for a VM that knows no other yet.
-	firstSeedEvery = 100 * time.Millisecond
-	// seedTimeout bounds one try.
+	// seedInterval is the time between two attempts to join through the seeds.
+	seedInterval = 500 * time.Millisecond
+	// isolatedSeedInterval is the same for a VM that knows no other VM yet.
+	isolatedSeedInterval = 100 * time.Millisecond
+	// seedTimeout bounds one attempt.
 	seedTimeout = 700 * time.Millisecond
-	// firstSeedTimeout is the same for a VM that knows no other yet: after a loss of all a
-	// seed without power does not even refuse, and is up a moment later. Answers take some
-	// ms, and some tens where all VMs start at once.
-	firstSeedTimeout = 250 * time.Millisecond
+	// isolatedSeedTimeout is the same for a VM that knows no other VM yet. After a loss of all VMs,
+	// a seed without power does not even refuse connections, and is up shortly after. Replies take
+	// a few milliseconds, and tens of milliseconds where all VMs start at once.
+	isolatedSeedTimeout = 250 * time.Millisecond
 )
 
-// joiner joins the fleet through the seeds, and joins parts of it again that have lost each
-// other. It tries all seeds at once: one after the other, a seed without power held up the
-// others for 0.7 s, and 195 VMs that had been lost together knew nobody for as long.
+// joiner joins the fleet through the seeds, and rejoins partitions of it. It contacts all seeds
+// concurrently: one after the other, a seed without power delayed the others by 0.7 s, and 195 VMs
+// that had been lost together knew no other VM for that long.
 type joiner struct {
 	self  string // this VM's address
 	seeds func() []string
-	// knows reports whether a live VM has an address.
-	knows func(address string) bool
-	// alone reports whether no other VM is known.
-	alone func() bool
-	join  func(ctx context.Context, address string)
+	// isKnown reports whether a live VM has the given address.
+	isKnown func(address string) bool
+	// isIsolated reports whether no other VM is known.
+	isIsolated func() bool
+	join       func(ctx context.Context, address string)
 
-	mu     sync.Mutex
-	trying map[string]bool // by address
+	mu      sync.Mutex
+	joining map[string]bool // addresses of attempts in flight
 }
 
 func (n *Node) seedLoop(ctx context.Context) {
 	j := &joiner{
-		self: advertised(n.settings.Listen), seeds: n.seeds, knows: n.knows, join: n.join,
-		alone: func() bool { return n.vms.Load() == 1 },
+		self: advertisedAddress(n.settings.Listen), seeds: n.seeds, isKnown: n.isLiveAddress, join: n.join,
+		isIsolated: func() bool { return n.vmCount.Load() == 1 },
 	}
 	j.run(ctx)
 }
 
-// run joins until the context ends.
+// run attempts to join until the context ends.
 func (j *joiner) run(ctx context.Context) {
-	j.trying = map[string]bool{}
+	j.joining = map[string]bool{}
 	for ctx.Err() == nil {
-		pause, timeout := seedEvery, seedTimeout
-		if j.alone() {
-			pause, timeout = firstSeedEvery, firstSeedTimeout
+		interval, timeout := seedInterval, seedTimeout
+		if j.isIsolated() {
+			interval, timeout = isolatedSeedInterval, isolatedSeedTimeout
 		}
 		for _, address := range j.seeds() {
-			if address != j.self && !j.knows(address) {
-				j.try(ctx, address, timeout)
+			if address != j.self && !j.isKnown(address) {
+				j.startJoin(ctx, address, timeout)
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// try begins a try at a seed unless one is under way.
-func (j *joiner) try(ctx context.Context, address string, timeout time.Duration) {
+// startJoin starts an attempt to join through a seed unless one is in flight.
+func (j *joiner) startJoin(ctx context.Context, address string, timeout time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.trying[address] {
+	if j.joining[address] {
 		return
 	}
-	j.trying[address] = true
+	j.joining[address] = true
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		j.join(ctx, address)
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		delete(j.trying, address)
+		delete(j.joining, address)
 	}()
 }
 
-// knows reports whether a live VM has the address.
-func (n *Node) knows(address string) bool {
+// isLiveAddress reports whether a live VM has the given address.
+func (n *Node) isLiveAddress(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, m := range n.roster.Members() {
@@ -98,7 +98,7 @@
 }
 
 func (n *Node) join(ctx context.Context, address string) {
-	reply, err := n.mesh.CallAddress(ctx, address, &schema.Call{Body: &schema.Call_Roster{Roster: n.wholeRoster()}})
+	reply, err := n.mesh.CallAddress(ctx, address, &schema.Call{Body: &schema.Call_Roster{Roster: n.fullRoster()}})
 	if err != nil {
 		n.log.PeerCallFailed("join", address, err)
 		return
--- a/internal/edge/leader.go
+++ b/internal/edge/leader.go
@@ -12,92 +12,96 @@
 	"github.com/junctionfold/junctionfold/internal/fleet"
 )
 
-// Figures of who reads and who orders.
+// Numbers and timing of store watchers and the leader.
 const (
-	// minReaders is how many VMs watch the store for all: two, so that one may be
-	// cut off unnoticed.
-	minReaders = 2
-	// vmsPerReader bounds how far word of a reader has to go in a large fleet: 195 VMs have
-	// four readers, each of which makes a call to the store every half second there.
-	vmsPerReader = 40
-	// revisionTimeout bounds one read of the store's revision: nobody orders
-	// meanwhile. Answers take 4 ms, and a quarter of a second in slow spells.
+	// minStoreWatchers is the least number of VMs that watch the store for the fleet: two, so that
+	// one may be cut off unnoticed.
+	minStoreWatchers = 2
+	// vmsPerStoreWatcher bounds how far updates of one store watcher have to spread in a large
+	// fleet: 195 VMs have four store watchers, each of which makes a call to the store every half
+	// second.
+	vmsPerStoreWatcher = 40
+	// revisionTimeout bounds one read of the store's revision, during which no VM sends orders.
+	// Replies take 4 ms, and 250 ms in slow periods.
 	revisionTimeout = 500 * time.Millisecond
-	// readerName is hashed to choose them.
-	readerName = "reader"
+	// storeWatcherKey is hashed to choose the store watchers.
+	storeWatcherKey = "reader"
 )
 
-// updateReaders finds who reads the store for all.
-func (n *Node) updateReaders() {
+// updateStoreWatchers determines the VMs that watch the store for the fleet. If any of the other
+// store watchers is in this VM's zone, this VM queries only those.
+func (n *Node) updateStoreWatchers() {
 	n.mu.Lock()
 	live := n.roster.LeaderCandidates()
-	n.vms.Store(int64(max(n.roster.Size(), 1)))
+	n.vmCount.Store(int64(max(n.roster.Size(), 1)))
 	n.mu.Unlock()
 	hashes := make([]uint64, len(live))
 	for i, e := range live {
 		hashes[i] = rendezvous.Hash(string(e.ID))
 	}
-	best := make([]int, max(minReaders, int(n.vms.Load())/vmsPerReader))
-	top := best[:rendezvous.Top(hashes, rendezvous.Hash(readerName), best)]
-	var readers []roster.Entry
-	self := false
+	best := make([]int, max(minStoreWatchers, int(n.vmCount.Load())/vmsPerStoreWatcher))
+	top := best[:rendezvous.Top(hashes, rendezvous.Hash(storeWatcherKey), best)]
+	var watchers []roster.Entry
+	isWatcher := false
 	for _, i := range top {
 		if string(live[i].ID) == n.settings.Vm.Id {
-			self = true
+			isWatcher = true
 			continue
 		}
-		readers = append(readers, live[i])
+		watchers = append(watchers, live[i])
 	}
-	n.reader.Store(self)
-	if slices.ContainsFunc(readers, n.isNear) {
-		readers = slices.DeleteFunc(readers, func(e roster.Entry) bool { return !n.isNear(e) })
+	n.isStoreWatcher.Store(isWatcher)
+	if slices.ContainsFunc(watchers, n.isSameZone) {
+		watchers = slices.DeleteFunc(watchers, func(e roster.Entry) bool { return !n.isSameZone(e) })
 	}
-	n.readers.Store(&readers)
+	n.storeWatchers.Store(&watchers)
 }
 
-// isNear reports whether a VM is of this one's zone.
-func (n *Node) isNear(e roster.Entry) bool { return e.Zone == n.settings.Vm.Zone }
+// isSameZone reports whether a VM is in this VM's zone.
+func (n *Node) isSameZone(e roster.Entry) bool { return e.Zone == n.settings.Vm.Zone }
 
-// someReader returns another VM that reads the store, of this zone if there is any; or "".
-func (n *Node) someReader() coord.VMID {
-	readers := *n.readers.Load()
-	if len(readers) == 0 {
+// randomStoreWatcher returns another VM that watches the store, in this zone if there is one, or
+// "".
+func (n *Node) randomStoreWatcher() coord.VMID {
+	watchers := *n.storeWatchers.Load()
+	if len(watchers) == 0 {
 		return ""
 	}
-	return readers[rand.IntN(len(readers))].ID
+	return watchers[rand.IntN(len(watchers))].ID
 }
 
-// updateDuty finds who gives orders, and takes the duty when it falls to this VM.
-func (n *Node) updateDuty() {
+// updateLeadership determines the leader, and starts acquiring the leadership when this VM is next.
+func (n *Node) updateLeadership() {
 	n.mu.Lock()
-	before := n.duty.Phase()
-	take := n.duty.Update(n.now(), n.roster)
-	after := n.duty.Phase()
-	acting := n.duty.Leader()
-	n.roster.SetFencingToken(n.duty.FencingToken())
-	fence := n.duty.FencingToken()
+	oldPhase := n.leadership.Phase()
+	acquire := n.leadership.Update(n.now(), n.roster)
+	newPhase := n.leadership.Phase()
+	leader := n.leadership.Leader()
+	n.roster.SetFencingToken(n.leadership.FencingToken())
+	token := n.leadership.FencingToken()
 	vms, majority := n.roster.Size(), n.roster.HasMajority()
 	n.mu.Unlock()
-	if old := *n.acting.Load(); old != acting {
-		n.acting.Store(&acting)
-		n.watchSilence(acting)
-		n.lines.setActing(acting == coord.VMID(n.settings.Vm.Id))
-		n.quotas.setActing(acting == coord.VMID(n.settings.Vm.Id))
-		n.schedules.setActing(acting == coord.VMID(n.settings.Vm.Id), n.others())
-		n.tellRunning(acting)
-		n.log.SchedulerMoved(string(old), string(acting))
+	if oldLeader := *n.leader.Load(); oldLeader != leader {
+		n.leader.Store(&leader)
+		n.monitorLeader(leader)
+		n.queues.setLeading(leader == coord.VMID(n.settings.Vm.Id))
+		n.quotas.setLeading(leader == coord.VMID(n.settings.Vm.Id))
+		n.schedulers.setLeading(leader == coord.VMID(n.settings.Vm.Id), n.livePeers())
+		n.reportRunning(leader)
+		n.log.SchedulerMoved(string(oldLeader), string(leader))
 	}
-	if before != after {
-		n.log.LeadershipChanged(before.String(), after.String(), vms, majority)
+	if oldPhase != newPhase {
+		n.log.LeadershipChanged(oldPhase.String(), newPhase.String(), vms, majority)
 	}
-	n.schedules.setLease(fence)
-	if take {
-		go n.takeDuty()
+	n.schedulers.setLease(token)
+	if acquire {
+		go n.acquireLeadership()
 	}
 }
 
-// takeDuty reads the store's revision for the fencing number.
-func (n *Node) takeDuty() {
+// acquireLeadership reads the store's revision and acquires the leadership under a fencing token
+// derived from it.
+func (n *Node) acquireLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), revisionTimeout)
 	defer cancel()
 	revision, err := n.platform.Store.Revision(ctx)
@@ -105,36 +109,37 @@
 		n.log.LeadershipNotAcquired(err)
 	}
 	n.mu.Lock()
-	n.duty.Acquire(n.now(), fenceBase(revision), err == nil)
-	fence := n.duty.FencingToken()
-	n.roster.SetFencingToken(fence)
+	n.leadership.Acquire(n.now(), fencingTokenBase(revision), err == nil)
+	token := n.leadership.FencingToken()
+	n.roster.SetFencingToken(token)
 	n.mu.Unlock()
-	if fence == 0 {
+	if token == 0 {
 		return
 	}
-	n.log.LeadershipAcquired(fence, revision)
-	n.schedules.setLease(fence)
-	n.beatAll()
+	n.log.LeadershipAcquired(token, revision)
+	n.schedulers.setLease(token)
+	n.sendHeartbeatToAll()
 }
 
-// eraStep is how many revisions an era counts for in fencing numbers: more than a store loses when it is
-// restored.
-const eraStep = 1 << 20
+// epochStep is the weight of a store epoch in fencing tokens, in revisions. It exceeds the number
+// of revisions that a store loses when it is restored.
+const epochStep = 1 << 20
 
-// fenceBase is a number that grows with the revisions of the store and does not fall when it is restored.
-func fenceBase(r fleet.Revision) uint64 { return r.Number() + r.Epoch()*eraStep }
+// fencingTokenBase returns a number that grows with the store's revisions and does not decrease
+// when the store is restored.
+func fencingTokenBase(r fleet.Revision) uint64 { return r.Number() + r.Epoch()*epochStep }
 
-// maxTickAge is how old the last look at the fleet may be for an order: a VM that
-// stood still must look again first.
-const maxTickAge = 2*slowHeartbeat + 100*time.Millisecond
+// maxTickAge is the greatest age of the last roster tick at which orders may be sent. A VM that was
+// paused must update its view of the fleet first.
+const maxTickAge = 2*largeFleetHeartbeatInterval + 100*time.Millisecond
 
-// orderFence returns the number to order under; 0 when this VM may not order.
-func (n *Node) orderFence() uint64 {
-	n.wake()
+// orderFencingToken returns the fencing token for orders, or 0 if this VM may not send orders.
+func (n *Node) orderFencingToken() uint64 {
+	n.checkSuspension()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.now().Sub(n.lastTick) > maxTickAge {
+	if n.now().Sub(n.lastRosterTick) > maxTickAge {
 		return 0
 	}
-	return n.duty.FencingToken()
+	return n.leadership.FencingToken()
 }
--- a/internal/edge/lines.go
+++ b/internal/edge/lines.go
@@ -16,111 +16,114 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// lines holds a line of waiting requests for each plain service. Only the acting VM is asked;
-// one that begins to act begins with empty lines. Lock order: lines.mu is taken before
-// Feed.mu.
-type lines struct {
+// queues holds a queue of waiting requests for each plain service. Only the leader receives
+// requests; a new leader starts with empty queues. Lock order: queues.mu before Feed.mu.
+type queues struct {
 	node *Node
 
 	mu       sync.Mutex
-	services map[string]*plainLine
+	services map[string]*serviceQueue
 }
 
-// plainLine is the line of one service.
-type plainLine struct {
+// serviceQueue is the queue of one plain service.
+type serviceQueue struct {
 	service string
-	l       *servicequeue.Queue
+	queue   *servicequeue.Queue
 	waiters waiters
-	// targets that take requests, and usable the same for the line.
-	targets map[string]*fleet.Target
-	usable  []servicequeue.Target
-	// revision of the store that targets show.
+	// targets holds the targets that accept requests; queueTargets is the same in the form that
+	// queue takes.
+	targets      map[string]*fleet.Target
+	queueTargets []servicequeue.Target
+	// revision is the store revision that targets reflects.
 	revision fleet.Revision
 }
 
-func newLines(n *Node) *lines { return &lines{node: n, services: map[string]*plainLine{}} }
+func newQueues(n *Node) *queues { return &queues{node: n, services: map[string]*serviceQueue{}} }
 
-// apply carries a changed directory in.
-func (ls *lines) apply(d *feed.Directory) {
+// apply applies a changed directory.
+func (qs *queues) apply(d *feed.Directory) {
 	if d.Config == nil {
 		return
 	}
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
 	for name, service := range d.Config.Services {
 		if service.Engine != nil {
 			continue
 		}
-		pl := ls.services[name]
-		if pl == nil {
-			pl = &plainLine{service: name, l: ls.newLine(), waiters: waiters{}}
-			ls.services[name] = pl
+		sq := qs.services[name]
+		if sq == nil {
+			sq = &serviceQueue{service: name, queue: qs.newQueue(), waiters: waiters{}}
+			qs.services[name] = sq
 		}
-		pl.targets, pl.usable, pl.revision = map[string]*fleet.Target{}, nil, d.Revision
+		sq.targets, sq.queueTargets, sq.revision = map[string]*fleet.Target{}, nil, d.Revision
 		for _, t := range d.TargetsOf(name) {
 			if t.State == fleet.TargetReady {
-				pl.targets[t.ID] = t
-				pl.usable = append(pl.usable, servicequeue.Target{ID: t.ID, Zone: t.Zone, Slots: t.Slots})
+				sq.targets[t.ID] = t
+				sq.queueTargets = append(sq.queueTargets, servicequeue.Target{ID: t.ID, Zone: t.Zone, Slots: t.Slots})
 			}
 		}
-		ls.answer(pl, pl.l.SetTargets(ls.node.now(), pl.usable))
+		qs.deliver(sq, sq.queue.SetTargets(qs.node.now(), sq.queueTargets))
 	}
 }
 
-// newLine returns an empty line that knows which targets limit their rate.
-func (ls *lines) newLine() *servicequeue.Queue {
-	l := servicequeue.New()
-	rates, share := ls.node.rateLimits.current()
-	l.SetRates(ls.node.now(), rates, share)
-	return l
+// newQueue returns an empty queue with the current rate limits of targets.
+func (qs *queues) newQueue() *servicequeue.Queue {
+	queue := servicequeue.New()
+	rates, share := qs.node.rateLimits.current()
+	queue.SetRates(qs.node.now(), rates, share)
+	return queue
 }
 
-// setActing says whether other VMs ask this one.
-func (ls *lines) setActing(acting bool) {
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
-	for _, pl := range ls.services {
-		ls.answer(pl, pl.l.RefuseWaiting(scheduler.ReasonNotLeader))
-		if acting {
-			pl.l = ls.newLine()
-			ls.answer(pl, pl.l.SetTargets(ls.node.now(), pl.usable))
+// setLeading sets whether this VM is the leader. Waiting requests are refused, so that their VMs
+// query the new leader.
+func (qs *queues) setLeading(leading bool) {
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	for _, sq := range qs.services {
+		qs.deliver(sq, sq.queue.RefuseWaiting(scheduler.ReasonNotLeader))
+		if leading {
+			sq.queue = qs.newQueue()
+			qs.deliver(sq, sq.queue.SetTargets(qs.node.now(), sq.queueTargets))
 		}
 	}
 }
 
-func (ls *lines) tick() {
-	ls.each(func(pl *plainLine, now time.Time) []servicequeue.Action { return pl.l.Tick(now) })
+func (qs *queues) tick() {
+	qs.each(func(sq *serviceQueue, now time.Time) []servicequeue.Action { return sq.queue.Tick(now) })
 }
 
-// drop forgets what a VM asked and runs that is silent, or whose process before this
-// incarnation is gone.
-func (ls *lines) drop(vm coord.VMID, before uint64) {
-	ls.each(func(pl *plainLine, now time.Time) []servicequeue.Action { return pl.l.RemoveVM(now, vm, before) })
+// removeVM removes the requests of a VM, waiting or running, with tickets below beforeTicket. The
+// VM is unresponsive, or its process was replaced by one whose tickets are not below beforeTicket.
+func (qs *queues) removeVM(vm coord.VMID, beforeTicket uint64) {
+	qs.each(func(sq *serviceQueue, now time.Time) []servicequeue.Action {
+		return sq.queue.RemoveVM(now, vm, beforeTicket)
+	})
 }
 
-func (ls *lines) each(f func(pl *plainLine, now time.Time) []servicequeue.Action) {
-	now := ls.node.now()
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
-	for _, pl := range ls.services {
-		ls.answer(pl, f(pl, now))
+func (qs *queues) each(f func(sq *serviceQueue, now time.Time) []servicequeue.Action) {
+	now := qs.node.now()
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	for _, sq := range qs.services {
+		qs.deliver(sq, f(sq, now))
 	}
 }
 
-// allTickets is above every ticket.
-const allTickets = math.MaxUint64
+// aboveAllTickets exceeds the tickets of all requests.
+const aboveAllTickets = math.MaxUint64
 
-// admit asks the line of a service and waits for its verdict.
-func (ls *lines) admit(ctx context.Context, from coord.VMID, a *schema.Admit) *schema.Verdict {
-	now := ls.node.now()
+// admit submits a request to the queue of its service and waits for the decision.
+func (qs *queues) admit(ctx context.Context, from coord.VMID, a *schema.Admit) *schema.Verdict {
+	now := qs.node.now()
 	key := servicequeue.Key{VM: from, Ticket: a.Ticket}
-	ls.mu.Lock()
-	pl := ls.services[a.Service]
-	if pl == nil {
-		ls.mu.Unlock()
-		return refusal(servicequeue.ReasonNoTarget, unknownPause)
+	qs.mu.Lock()
+	sq := qs.services[a.Service]
+	if sq == nil {
+		qs.mu.Unlock()
+		return refusalMessage(servicequeue.ReasonNoTarget, noDecisionRetryDelay)
 	}
-	verdict := pl.waiters.add(key)
+	decision := sq.waiters.add(key)
 	r := servicequeue.Request{
 		Key: key, Zone: a.Zone, Priority: int(a.Priority), Exclude: slices.Concat(a.Exclude, a.Resting),
 		Deadline: now.Add(time.Duration(a.LeftMs) * time.Millisecond),
@@ -128,50 +131,50 @@
 	if a.PatienceMs != 0 {
 		r.SoftDeadline = now.Add(time.Duration(a.PatienceMs) * time.Millisecond)
 	}
-	ls.answer(pl, pl.l.Submit(now, r))
-	ls.mu.Unlock()
-	return ls.node.awaitVerdict(ctx, now, verdict, func() {
-		ls.done(from, &schema.Done{Ticket: a.Ticket, Service: a.Service, Ending: schema.Ending_ENDING_ABANDONED})
+	qs.deliver(sq, sq.queue.Submit(now, r))
+	qs.mu.Unlock()
+	return qs.node.awaitDecision(ctx, now, decision, func() {
+		qs.done(from, &schema.Done{Ticket: a.Ticket, Service: a.Service, Ending: schema.Ending_ENDING_ABANDONED})
 	})
 }
 
-// done takes the end of a request, or withdraws it.
-func (ls *lines) done(from coord.VMID, d *schema.Done) {
-	how, known := plainEndings[d.Ending]
+// done records the end of a request, or withdraws a waiting one.
+func (qs *queues) done(from coord.VMID, d *schema.Done) {
+	ending, known := plainEndings[d.Ending]
 	if !known {
-		how = balance.Abandoned
+		ending = balance.Abandoned
 	}
 	key := servicequeue.Key{VM: from, Ticket: d.Ticket}
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
-	pl := ls.services[d.Service]
-	if pl == nil {
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	sq := qs.services[d.Service]
+	if sq == nil {
 		return
 	}
-	delete(pl.waiters, key)
+	delete(sq.waiters, key)
 	took := time.Duration(d.TookMs * float64(time.Millisecond))
-	ls.answer(pl, pl.l.Done(ls.node.now(), key, how, took))
+	qs.deliver(sq, sq.queue.Done(qs.node.now(), key, ending, took))
 }
 
-// answer gives verdicts to those who wait. ls.mu is held.
-func (ls *lines) answer(pl *plainLine, acts []servicequeue.Action) {
-	for _, a := range acts {
-		answered := pl.waiters.answer(a.Key, pl.targets, ls.node.rateLimits.Limit(a.Target), &schema.Verdict{
+// deliver sends decisions to the waiting requests. qs.mu is held.
+func (qs *queues) deliver(sq *serviceQueue, actions []servicequeue.Action) {
+	for _, a := range actions {
+		delivered := sq.waiters.deliver(a.Key, sq.targets, qs.node.rateLimits.Limit(a.Target), &schema.Verdict{
 			Target: a.Target, RetryAfterMs: a.RetryAfter.Milliseconds(), Reason: a.Reason,
-			FeedRevision: uint64(pl.revision), FeedAgeMs: ls.node.feed.Age().Milliseconds(),
+			FeedRevision: uint64(sq.revision), FeedAgeMs: qs.node.feed.Age().Milliseconds(),
 		})
-		if answered && a.Target == "" && a.Reason != scheduler.ReasonNotLeader {
-			ls.node.log.QueueRefused(string(a.Key.VM), a.Key.Ticket, pl.service, a.Reason, pl.l.Stats())
+		if delivered && a.Target == "" && a.Reason != scheduler.ReasonNotLeader {
+			qs.node.log.QueueRefused(string(a.Key.VM), a.Key.Ticket, sq.service, a.Reason, sq.queue.Stats())
 		}
 	}
 }
 
-// stats sums the lines of all services; of times it has the longest.
-func (ls *lines) stats() (sum servicequeue.Stats) {
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
-	for _, pl := range ls.services {
-		st := pl.l.Stats()
+// stats returns the sums over the queues of all services; ServiceTime is the longest.
+func (qs *queues) stats() (sum servicequeue.Stats) {
+	qs.mu.Lock()
+	defer qs.mu.Unlock()
+	for _, sq := range qs.services {
+		st := sq.queue.Stats()
 		sum.Waiting += st.Waiting
 		sum.Running += st.Running
 		sum.Limit += st.Limit
--- a/internal/edge/orders.go
+++ b/internal/edge/orders.go
@@ -11,35 +11,35 @@
 	"github.com/junctionfold/junctionfold/internal/fleet"
 )
 
-// errLeaseOver marks an order that was not given: it waited for a worker, or this VM stood
-// still, and the lease under which it was decided is over.
-var errLeaseOver = errors.New("the lease of the order is over")
+// errLeaseExpired marks an order that was not sent: while it waited for a worker, or while this VM
+// was paused, the lease under which it was decided expired.
+var errLeaseExpired = errors.New("the lease of the order is over")
 
-// order gives one order and feeds the answer back.
-func (ss *schedules) order(sc *schedule, t *fleet.Target, a scheduler.Action) {
+// sendOrder sends one order to its engine and reports the result to the scheduler.
+func (ss *schedulers) sendOrder(sc *serviceScheduler, t *fleet.Target, a scheduler.Action) {
 	n := ss.node
-	answer, err := fleet.OrderAnswer{Result: fleet.OrderConflict}, errLeaseOver // as if not taken
-	began := n.now()
-	fence := n.orderFence()
-	if fence == a.FencingToken {
+	answer, err := fleet.OrderAnswer{Result: fleet.OrderConflict}, errLeaseExpired // treated as if the engine had rejected it
+	startedAt := n.now()
+	token := n.orderFencingToken()
+	if token == a.FencingToken {
 		answer, err = n.platform.Engines.Order(context.Background(), fleet.Order{
 			Target: t.ID, Address: t.Address, Unload: a.Kind == scheduler.ActUnload, Ref: a.Ref,
-			Version: a.Version, Holder: n.settings.Vm.Id, FencingToken: fence, ExpectedOrders: a.ExpectedOrders,
+			Version: a.Version, Holder: n.settings.Vm.Id, FencingToken: token, ExpectedOrders: a.ExpectedOrders,
 		})
 	}
-	n.targetSaid(t.ID, answer.Notice, nil)
+	n.handleNotice(t.ID, answer.Notice, nil)
 	result := answer.Result
-	n.logOrder(t, a, fence, result, err, n.now().Sub(began))
+	n.logOrder(t, a, token, result, err, n.now().Sub(startedAt))
 	if result == fleet.OrderFenced {
 		n.mu.Lock()
-		n.duty.HandleRejection(fence)
+		n.leadership.HandleRejection(token)
 		n.mu.Unlock()
 	}
-	ss.each(func(other *schedule, now time.Time) []scheduler.Action {
+	ss.each(func(other *serviceScheduler, now time.Time) []scheduler.Action {
 		if other != sc {
 			return nil
 		}
-		return sc.s.OrderAnswered(now, t.ID, a.Kind == scheduler.ActUnload, a.Ref, orderResult(result))
+		return sc.scheduler.OrderAnswered(now, t.ID, a.Kind == scheduler.ActUnload, a.Ref, orderResult(result))
 	})
 }
 
@@ -55,46 +55,46 @@
 	return scheduler.OrderRejected
 }
 
-func (n *Node) logOrder(t *fleet.Target, a scheduler.Action, fence uint64, r fleet.OrderResult, err error, took time.Duration) {
+func (n *Node) logOrder(t *fleet.Target, a scheduler.Action, token uint64, r fleet.OrderResult, err error, took time.Duration) {
 	kind := "load"
 	if a.Kind == scheduler.ActUnload {
 		kind = "unload"
 	}
 	n.metrics.Orders.Add(kind+"."+r.String(), 1)
-	expect := int64(-1)
+	expected := int64(-1)
 	if a.ExpectedOrders != nil {
-		expect = int64(*a.ExpectedOrders)
+		expected = int64(*a.ExpectedOrders)
 	}
 	n.log.OrderAnswered(events.Order{
 		Kind: kind, Target: t.ID, Adapter: a.Ref.String(), Version: a.Version,
-		FencingToken: fence, ExpectedOrders: expect, Result: r.String(), Took: took, Err: err,
+		FencingToken: token, ExpectedOrders: expected, Result: r.String(), Took: took, Err: err,
 		Basis: a.Basis,
 	})
 }
 
-// errReborn marks a report of another incarnation than the one that was asked for.
-var errReborn = errors.New("the engine has started again")
+// errEngineRestarted marks a report from an incarnation other than the requested one.
+var errEngineRestarted = errors.New("the engine has restarted")
 
-// read reads a target's report and feeds it back. The report of a later start says that the
-// incarnation asked for is gone; that of an earlier one says nothing.
-func (ss *schedules) read(sc *schedule, t *fleet.Target) {
+// readReport reads a target's report and passes it to the scheduler. The report of a later
+// incarnation shows that the requested one is gone; the report of an earlier one shows nothing.
+func (ss *schedulers) readReport(sc *serviceScheduler, t *fleet.Target) {
 	report, err := ss.node.platform.Engines.Report(context.Background(), t.ID, t.Address)
-	ss.node.targetSaid(t.ID, report.Notice, nil)
-	another := err == nil && t.Started != 0 && report.Started != 0 && report.Started != t.Started
-	if another {
-		err = errReborn
+	ss.node.handleNotice(t.ID, report.Notice, nil)
+	otherIncarnation := err == nil && t.Started != 0 && report.Started != 0 && report.Started != t.Started
+	if otherIncarnation {
+		err = errEngineRestarted
 	}
 	if err != nil {
 		ss.node.log.ReportFailed(t.ID, err)
 	}
-	r := scheduler.Report{Resident: holdings(report.Resident), Pending: report.Pending, Busy: report.Busy, OrderCount: report.OrderCount}
-	ss.each(func(other *schedule, now time.Time) []scheduler.Action {
+	r := scheduler.Report{Resident: residentItems(report.Resident), Pending: report.Pending, Busy: report.Busy, OrderCount: report.OrderCount}
+	ss.each(func(other *serviceScheduler, now time.Time) []scheduler.Action {
 		switch {
 		case other != sc:
 			return nil
-		case another && report.Started > t.Started:
-			return sc.s.TargetReplaced(now, t.ID)
+		case otherIncarnation && report.Started > t.Started:
+			return sc.scheduler.TargetReplaced(now, t.ID)
 		}
-		return sc.s.HandleReport(now, t.ID, r, err == nil)
+		return sc.scheduler.HandleReport(now, t.ID, r, err == nil)
 	})
 }
--- a/internal/edge/orders_test.go
+++ b/internal/edge/orders_test.go
@@ -30,42 +30,42 @@
 	return fleet.Report{}, nil
 }
 
-// TestOrdersAreGivenUnderTheirLease: an order that was decided under a lease which is over, and
-// waited for a worker meanwhile, rests on places that another VM may have filled since.
-func TestOrdersAreGivenUnderTheirLease(t *testing.T) {
+// TestOrdersAreSentOnlyUnderTheirLease guards against orders whose lease expired while they waited
+// for a worker: they assume free adapter slots that another leader may have filled since.
+func TestOrdersAreSentOnlyUnderTheirLease(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	r := roster.New(roster.Config{Start: now}, roster.Entry{ID: "a", Address: "a", Incarnation: 1})
-	m := leadership.New(now.Add(-time.Minute), "a", dutyName, time.Second, true)
-	assert.Assert(t, m.Update(now, r))
-	m.Acquire(now, 7, true)
+	machine := leadership.New(now.Add(-time.Minute), "a", leadershipKey, time.Second, true)
+	assert.Assert(t, machine.Update(now, r))
+	machine.Acquire(now, 7, true)
 	engines := &countingEngines{}
 	n := &Node{
 		settings: &schema.EdgeSettings{Vm: &schema.EdgeVM{Id: "a"}}, log: events.Discard(),
 		platform: Platform{Engines: engines},
-		metrics:  gateway.NewMetrics(), duty: m, lastTick: now,
+		metrics:  gateway.NewMetrics(), leadership: machine, lastRosterTick: now,
 	}
 	source := &suspendable{}
 	n.clock = source.clock(&now)
 	n.now = n.clock.Now
-	n.schedules = newSchedules(n)
-	sc := &schedule{s: scheduler.New(scheduler.Config{})}
-	give := func(fence uint64) int {
-		n.schedules.order(sc, &fleet.Target{ID: "t"}, scheduler.Action{
-			Kind: scheduler.ActLoad, Ref: coord.AdapterRef{Model: "m", Adapter: "x"}, FencingToken: fence,
+	n.schedulers = newSchedulers(n)
+	sc := &serviceScheduler{scheduler: scheduler.New(scheduler.Config{})}
+	send := func(token uint64) int {
+		n.schedulers.sendOrder(sc, &fleet.Target{ID: "t"}, scheduler.Action{
+			Kind: scheduler.ActLoad, Ref: coord.AdapterRef{Model: "m", Adapter: "x"}, FencingToken: token,
 		})
 		return engines.orders
 	}
-	assert.Equal(t, give(m.FencingToken()-1), 0, "the lease before")
-	assert.Equal(t, give(m.FencingToken()), 1)
+	assert.Equal(t, send(machine.FencingToken()-1), 0, "under the previous lease")
+	assert.Equal(t, send(machine.FencingToken()), 1)
 	now = now.Add(2 * maxTickAge)
-	assert.Equal(t, give(m.FencingToken()), 1, "after a standstill")
-	n.lastTick = now
-	assert.Equal(t, give(m.FencingToken()), 2)
+	assert.Equal(t, send(machine.FencingToken()), 1, "after a pause of this VM")
+	n.lastRosterTick = now
+	assert.Equal(t, send(machine.FencingToken()), 2)
 	source.suspend(2 * maxTickAge)
-	assert.Equal(t, give(m.FencingToken()), 2, "after a suspension, in which the steady clock stood still")
+	assert.Equal(t, send(machine.FencingToken()), 2, "after a suspension, during which the monotonic clock did not advance")
 }
 
-// suspendable is a machine that a test suspends.
+// suspendable is a machine that a test can suspend.
 type suspendable struct{ suspended time.Duration }
 
 func (s *suspendable) suspend(d time.Duration) { s.suspended += d }
@@ -79,12 +79,13 @@
 	return c
 }
 
-// TestFencingNumbersAfterTheStoreIsRestored are not below those before it.
-func TestFencingNumbersAfterTheStoreIsRestored(t *testing.T) {
+// TestFencingTokensGrowAfterStoreRestore guards against fencing tokens below those issued before
+// the store was restored.
+func TestFencingTokensGrowAfterStoreRestore(t *testing.T) {
 	before, err := fleet.NewRevision(1, 900_000)
 	assert.NilError(t, err)
 	after, err := fleet.NewRevision(2, 10)
 	assert.NilError(t, err)
-	assert.Assert(t, fenceBase(after) > fenceBase(before))
-	assert.Equal(t, fenceBase(7), uint64(7))
+	assert.Assert(t, fencingTokenBase(after) > fencingTokenBase(before))
+	assert.Equal(t, fencingTokenBase(7), uint64(7))
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -14,30 +14,30 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// tellTimeout bounds a message that is not waited for.
-const tellTimeout = time.Second
+// notifyTimeout bounds heartbeats, notifications and other calls to a VM that no request waits for.
+const notifyTimeout = time.Second
 
-// peerHandler serves what other VMs send.
+// peerHandler serves the messages of other VMs.
 type peerHandler Node
 
-// ServeForward refuses: edge VMs send requests to targets themselves.
+// ServeForward does nothing: edge VMs send requests to targets themselves.
 func (h *peerHandler) ServeForward(_ context.Context, _ coord.VMID, _ *schema.Forward, _ *peer.AnswerWriter) {
 }
 
-// HandleHeartbeat takes a heartbeat with what its sender knows of the fleet.
-func (h *peerHandler) HandleHeartbeat(b *schema.Heartbeat) {
-	if b.Roster != nil {
-		(*Node)(h).heardRoster(coord.VMID(b.Vm), b.Roster)
+// HandleHeartbeat applies the roster that a heartbeat carries.
+func (h *peerHandler) HandleHeartbeat(hb *schema.Heartbeat) {
+	if hb.Roster != nil {
+		(*Node)(h).handleRoster(coord.VMID(hb.Vm), hb.Roster)
 	}
 }
 
-// ServeCall answers a call.
+// ServeCall handles a call and returns its reply.
 func (h *peerHandler) ServeCall(ctx context.Context, from coord.VMID, c *schema.Call) *schema.Reply {
 	n := (*Node)(h)
 	switch body := c.Body.(type) {
 	case *schema.Call_Roster:
 		n.mergeRoster(body.Roster)
-		return &schema.Reply{Body: &schema.Reply_Roster{Roster: n.wholeRoster()}}
+		return &schema.Reply{Body: &schema.Reply_Roster{Roster: n.fullRoster()}}
 	case *schema.Call_Feed:
 		u, err := updateFromProto(body.Feed)
 		if err != nil {
@@ -58,7 +58,7 @@
 		v := n.admit(ctx, from, body.Admit)
 		return &schema.Reply{Body: &schema.Reply_Verdict{Verdict: v}}
 	case *schema.Call_Running:
-		n.schedules.adopt(from, body.Running)
+		n.schedulers.adopt(from, body.Running)
 		return emptyReply()
 	case *schema.Call_Done:
 		n.done(from, body.Done)
@@ -66,17 +66,17 @@
 	case *schema.Call_FeedProof:
 		p := n.feed.Confirmation()
 		return &schema.Reply{Body: &schema.Reply_FeedState{FeedState: &schema.FeedState{
-			LastChange: uint64(p.LastChange), ProvenMs: provenMs(p.ConfirmedAge),
+			LastChange: uint64(p.LastChange), ProvenMs: confirmedAgeMs(p.ConfirmedAge),
 		}}}
 	case *schema.Call_Suspects:
-		n.contents.learn(body.Suspects)
+		n.quarantine.mergeFindings(body.Suspects)
 		return emptyReply()
 	case *schema.Call_Leaving:
-		n.heardLeaving(body.Leaving)
+		n.handleLeavingTargets(body.Leaving)
 		return emptyReply()
 	case *schema.Call_RateLimits:
 		for _, m := range body.RateLimits.Limits {
-			n.rateLimits.take(from, m)
+			n.rateLimits.handleReport(from, m)
 		}
 		return emptyReply()
 	case *schema.Call_Heartbeat:
@@ -85,7 +85,7 @@
 	return &schema.Reply{Error: "call of no known kind"}
 }
 
-// configReply answers with the configuration in force, as an update of one item.
+// configReply returns the active configuration as an update of one item.
 func (n *Node) configReply() *schema.Reply {
 	item, ok := n.feed.ActiveConfig()
 	if !ok {
@@ -99,7 +99,7 @@
 	return &schema.Reply{Body: &schema.Reply_Empty{Empty: &schema.Empty{}}}
 }
 
-// peerAddress returns where a VM listens for others.
+// peerAddress returns the address at which a VM accepts sessions, or "" if it is unknown.
 func (n *Node) peerAddress(vm coord.VMID) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,13 +109,13 @@
 	return ""
 }
 
-// tellRoster is what heartbeats carry.
-func (n *Node) tellRoster() *schema.Roster {
+// rosterDigest returns the roster that heartbeats carry.
+func (n *Node) rosterDigest() *schema.Roster {
 	n.mu.Lock()
-	entries, beats := n.roster.Digest(n.now())
+	entries, heartbeats := n.roster.Digest(n.now())
 	n.mu.Unlock()
 	out := rosterToProto(entries)
-	for _, b := range beats {
+	for _, b := range heartbeats {
 		out.Digests = append(out.Digests, b.Digest)
 		out.Counts = append(out.Counts, b.Count)
 	}
@@ -125,8 +125,8 @@
 	return out
 }
 
-// wholeRoster is for a VM that joins, or that lacks entries.
-func (n *Node) wholeRoster() *schema.Roster {
+// fullRoster returns all roster entries, for a VM that joins or lacks entries.
+func (n *Node) fullRoster() *schema.Roster {
 	n.mu.Lock()
 	entries := n.roster.Snapshot()
 	n.mu.Unlock()
@@ -160,13 +160,13 @@
 	changes := n.roster.Merge(n.now(), entriesFromProto(r))
 	incarnation := n.roster.Self().Incarnation
 	n.mu.Unlock()
-	n.outgrowTickets(incarnation)
+	n.raiseTickets(incarnation)
 	n.onRosterChanges(changes)
 }
 
-// outgrowTickets keeps tickets above this process's incarnation, which rises when another VM remembers a
-// higher one: others take lower tickets for those of the process before.
-func (n *Node) outgrowTickets(incarnation uint64) {
+// raiseTickets keeps tickets above this process's incarnation, which is raised when another VM
+// remembers a higher one: other VMs attribute lower tickets to the previous process.
+func (n *Node) raiseTickets(incarnation uint64) {
 	for {
 		last := n.tickets.Load()
 		if last >= incarnation || n.tickets.CompareAndSwap(last, incarnation) {
@@ -175,23 +175,23 @@
 	}
 }
 
-// heardRoster takes what a heartbeat carries. Entries that this VM lacks are asked
-// of the sender.
-func (n *Node) heardRoster(from coord.VMID, r *schema.Roster) {
-	n.silence.from(n.now(), from)
+// handleRoster applies the roster of a heartbeat. Entries that this VM lacks are requested from the
+// sender.
+func (n *Node) handleRoster(from coord.VMID, r *schema.Roster) {
+	n.leaderMonitor.recordResponse(n.now(), from)
 	n.mergeRoster(r)
-	beats := make([]roster.HeartbeatCount, 0, len(r.Digests))
+	heartbeats := make([]roster.HeartbeatCount, 0, len(r.Digests))
 	for i, d := range r.Digests {
 		if i < len(r.Counts) {
-			beats = append(beats, roster.HeartbeatCount{Digest: d, Count: r.Counts[i]})
+			heartbeats = append(heartbeats, roster.HeartbeatCount{Digest: d, Count: r.Counts[i]})
 		}
 	}
 	n.mu.Lock()
-	changes, unknown := n.roster.MergeHeartbeats(n.now(), beats)
+	changes, unknown := n.roster.MergeHeartbeats(n.now(), heartbeats)
 	n.mu.Unlock()
 	n.onRosterChanges(changes)
 	if unknown {
-		go n.askRoster(from)
+		go n.requestRoster(from)
 	}
 	n.feed.ObserveState(from, feed.State{
 		LastChange: fleet.Revision(r.FeedLastChange), To: fleet.Revision(r.FeedRevision),
@@ -199,21 +199,21 @@
 	})
 }
 
-// askGap is the least time between two questions for entries.
-const askGap = time.Second
+// rosterRequestInterval is the least time between two requests for roster entries.
+const rosterRequestInterval = time.Second
 
-// askRoster asks a VM for all entries that it knows.
-func (n *Node) askRoster(vm coord.VMID) {
+// requestRoster requests all roster entries that a VM knows.
+func (n *Node) requestRoster(vm coord.VMID) {
 	n.mu.Lock()
-	due := n.now().Sub(n.askedRoster) >= askGap
+	due := n.now().Sub(n.rosterRequestedAt) >= rosterRequestInterval
 	if due {
-		n.askedRoster = n.now()
+		n.rosterRequestedAt = n.now()
 	}
 	n.mu.Unlock()
 	if !due {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	reply, err := n.mesh.Call(ctx, vm, &schema.Call{Body: &schema.Call_Roster{Roster: rosterToProto(nil)}})
 	if err != nil {
@@ -225,31 +225,32 @@
 	}
 }
 
-// feedPeers is how the feed reaches other VMs.
+// feedPeers gives the feed access to other VMs. It implements feed.Peers.
 type feedPeers Node
 
-// IsStoreWatcher reports whether this VM reads the store for the others.
-func (p *feedPeers) IsStoreWatcher() bool { return (*Node)(p).reader.Load() }
+// IsStoreWatcher reports whether this VM watches the store for the others.
+func (p *feedPeers) IsStoreWatcher() bool { return (*Node)(p).isStoreWatcher.Load() }
 
 // VMCount returns the size of the fleet.
-func (p *feedPeers) VMCount() int { return int((*Node)(p).vms.Load()) }
+func (p *feedPeers) VMCount() int { return int((*Node)(p).vmCount.Load()) }
 
 // Relay sends an update to all live VMs.
 func (p *feedPeers) Relay(u feed.Update) {
 	n := (*Node)(p)
 	call := &schema.Call{Body: &schema.Call_Feed{Feed: updateToProto(u)}}
-	for _, vm := range n.others() {
-		go n.tell(vm, call)
+	for _, vm := range n.livePeers() {
+		go n.notify(vm, call)
 	}
 }
 
-// errNoPeer is returned when there is nobody to ask.
+// errNoPeer is returned when there is no other VM to query.
 var errNoPeer = errors.New("no other VM is known")
 
-// Pull asks some other VM for what changed after a revision.
+// Pull requests the changes after a revision from up to fanout random VMs, one after the other, and
+// returns the first update.
 func (p *feedPeers) Pull(ctx context.Context, after fleet.Revision) (feed.Update, error) {
 	err := errNoPeer
-	for _, vm := range shuffled((*Node)(p).others(), fanout) {
+	for _, vm := range randomSample((*Node)(p).livePeers(), fanout) {
 		var u feed.Update
 		if u, err = p.PullFrom(ctx, vm, after); err == nil {
 			return u, nil
@@ -258,10 +259,10 @@
 	return feed.Update{}, err
 }
 
-// QueryStoreWatcher asks a VM that reads the store for the others, one of this zone if there is any: it
-// has a read of its own to prove its copy by.
+// QueryStoreWatcher requests the confirmation of a store watcher's copy, from one in this zone if
+// possible. A store watcher confirms its copy by its own reads of the store.
 func (p *feedPeers) QueryStoreWatcher(ctx context.Context) (coord.VMID, feed.Confirmation, error) {
-	vm := (*Node)(p).someReader()
+	vm := (*Node)(p).randomStoreWatcher()
 	if vm == "" {
 		return "", feed.Confirmation{}, errNoPeer
 	}
@@ -271,41 +272,41 @@
 	}
 	state := reply.GetFeedState()
 	if state == nil {
-		return vm, feed.Confirmation{}, errors.Newf("%s answered without the state of its copy", vm)
+		return vm, feed.Confirmation{}, errors.Newf("%s replied without the state of its store copy", vm)
 	}
 	return vm, feed.Confirmation{LastChange: fleet.Revision(state.LastChange), ConfirmedAge: time.Duration(state.ProvenMs) * time.Millisecond}, nil
 }
 
-// PullFrom asks one VM.
+// PullFrom requests the changes after a revision from one VM.
 func (p *feedPeers) PullFrom(ctx context.Context, vm coord.VMID, after fleet.Revision) (feed.Update, error) {
 	return p.pull(ctx, vm, &schema.FeedPull{After: uint64(after)})
 }
 
-// PullConfig asks one VM for the configuration in force there.
+// PullConfig requests the configuration that is active at one VM.
 func (p *feedPeers) PullConfig(ctx context.Context, vm coord.VMID) (fleet.Item, error) {
 	u, err := p.pull(ctx, vm, &schema.FeedPull{Config: true})
 	if err != nil {
 		return fleet.Item{}, err
 	}
 	if len(u.Items) != 1 {
-		return fleet.Item{}, errors.Newf("%s answered with %d items for a configuration", vm, len(u.Items))
+		return fleet.Item{}, errors.Newf("%s replied with %d items instead of one configuration", vm, len(u.Items))
 	}
 	return u.Items[0], nil
 }
 
-func (p *feedPeers) pull(ctx context.Context, vm coord.VMID, ask *schema.FeedPull) (feed.Update, error) {
-	reply, err := (*Node)(p).mesh.Call(ctx, vm, &schema.Call{Body: &schema.Call_FeedPull{FeedPull: ask}})
+func (p *feedPeers) pull(ctx context.Context, vm coord.VMID, request *schema.FeedPull) (feed.Update, error) {
+	reply, err := (*Node)(p).mesh.Call(ctx, vm, &schema.Call{Body: &schema.Call_FeedPull{FeedPull: request}})
 	if err != nil {
 		return feed.Update{}, err
 	}
 	if reply.GetFeed() == nil {
-		return feed.Update{}, errors.Newf("%s answered without an update", vm)
+		return feed.Update{}, errors.Newf("%s replied without an update", vm)
 	}
 	return updateFromProto(reply.GetFeed())
 }
 
-// others returns the live VMs but this one.
-func (n *Node) others() []coord.VMID {
+// livePeers returns the VMs that are not suspect, except this one.
+func (n *Node) livePeers() []coord.VMID {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []coord.VMID
@@ -317,8 +318,8 @@
 	return out
 }
 
-func (n *Node) tell(vm coord.VMID, c *schema.Call) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+func (n *Node) notify(vm coord.VMID, c *schema.Call) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	if _, err := n.mesh.Call(ctx, vm, c); err != nil {
 		n.log.PeerCallFailed("tell", string(vm), err)
--- a/internal/edge/quotas.go
+++ b/internal/edge/quotas.go
@@ -14,26 +14,27 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// reasonQuota is the reason of refusals of teams that are over their quota.
+// reasonQuota is the reason for refusing requests of teams that are over their quota.
 const reasonQuota = "quota"
 
-// quotas charges requests to their teams: at the acting VM in the ledger of the whole fleet,
-// at a VM that gets no verdict on its own reserve. Lock order: quotas.mu is taken alone.
+// quotas charges requests to their teams: at the leader in the ledger of the whole fleet, at a VM
+// that gets no decisions in its own reserve. Lock order: no other lock is acquired while quotas.mu
+// is held.
 type quotas struct {
 	node *Node
 
-	mu     sync.Mutex
-	room   quota.Tolerance
-	limits map[string]quota.Limit
-	ledger *quota.Ledger
-	// begun is when the ledger began, empty.
-	begun   time.Time
-	reserve *quota.Reserve
-	// charged are the requests that were granted a target and have not ended, waiting those
-	// that wait for units; what is closed ends the wait.
+	mu        sync.Mutex
+	tolerance quota.Tolerance
+	limits    map[string]quota.Limit
+	ledger    *quota.Ledger
+	// ledgerStarted is when the ledger started empty.
+	ledgerStarted time.Time
+	reserve       *quota.Reserve
+	// charged holds the requests that were granted a target and have not ended. waiting holds the
+	// requests that wait for units; closing a channel ends the wait.
 	charged map[coord.RequestKey]charge
 	waiting map[coord.RequestKey]chan struct{}
-	// teams counts what each asked and was refused here.
+	// teams counts the units that were charged and refused at this VM, by team.
 	teams map[string]*TeamCount
 }
 
@@ -43,27 +44,27 @@
 	expires time.Time
 }
 
-// TeamCount is what was charged to a team, in its units, and how much of what it asked was
-// refused.
+// TeamCount is the cost of a team's requests that were charged and that were refused, in units of
+// its quota.
 type TeamCount struct {
 	Charged, Refused float64
 }
 
-// maxTeams bounds the teams that are counted one by one.
+// maxTeams bounds the teams that are counted individually.
 const maxTeams = 256
 
-// otherTeams is the name under which the others are counted.
+// otherTeams is the name under which all further teams are counted.
 const otherTeams = "(others)"
 
 func newQuotas(n *Node, s *schema.EdgeQuota) *quotas {
-	room := quota.Tolerance{Window: time.Duration(s.WindowS * float64(time.Second)), ExcessRatio: s.Over, Slack: s.Slack}
+	tolerance := quota.Tolerance{Window: time.Duration(s.WindowS * float64(time.Second)), ExcessRatio: s.Over, Slack: s.Slack}
 	return &quotas{
-		node: n, room: room, ledger: quota.NewLedger(room), reserve: quota.NewReserve(room),
+		node: n, tolerance: tolerance, ledger: quota.NewLedger(tolerance), reserve: quota.NewReserve(tolerance),
 		charged: map[coord.RequestKey]charge{}, waiting: map[coord.RequestKey]chan struct{}{}, teams: map[string]*TeamCount{},
 	}
 }
 
-// apply puts the limits of a changed directory in force.
+// apply applies the quotas of a changed directory.
 func (q *quotas) apply(d *feed.Directory) {
 	if d.Config == nil {
 		return
@@ -82,40 +83,41 @@
 	q.reserve.SetLimits(now, limits)
 }
 
-// setActing begins an empty ledger when other VMs begin to ask this one: what the one before
-// gave is not known here.
-func (q *quotas) setActing(acting bool) {
+// setLeading starts an empty ledger when this VM becomes the leader, since it does not know the
+// charges of the previous leader.
+func (q *quotas) setLeading(leading bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if acting {
-		q.begun = q.node.now()
-		q.ledger = quota.NewLedger(q.room)
-		q.ledger.SetLimits(q.begun, q.limits)
+	if leading {
+		q.ledgerStarted = q.node.now()
+		q.ledger = quota.NewLedger(q.tolerance)
+		q.ledger.SetLimits(q.ledgerStarted, q.limits)
 		clear(q.charged)
 	}
 }
 
-// fleetKnown is how long after its start a VM takes the VMs that it knows for all.
-const fleetKnown = 300 * time.Millisecond
+// fleetDiscoveryTime is how long after its start a VM treats the size of the fleet as unknown.
+const fleetDiscoveryTime = 300 * time.Millisecond
 
-// tick follows the fleet: which part of it this VM hears, and whether it is answered.
+// tick updates the fleet size, the share of responsive VMs and whether this VM is disconnected from
+// the leader, and drops expired charges.
 func (q *quotas) tick() {
 	n := q.node
 	now := n.now()
 	n.mu.Lock()
-	size, noticed := n.roster.Size(), n.roster.SuspectAfter()
+	size, suspectAfter := n.roster.Size(), n.roster.SuspectAfter()
 	n.mu.Unlock()
-	share := n.heardShare()
+	share := n.responsiveShare()
 	known := size
-	if size == 1 || now.Sub(n.began) < fleetKnown {
+	if size == 1 || now.Sub(n.startedAt) < fleetDiscoveryTime {
 		known = 0
 	}
-	alone := n.isAlone()
+	disconnected := n.isDisconnected()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.SetFleetShare(now, share)
-	q.reserve.SetFleetSize(now, known, noticed)
-	q.reserve.SetDisconnected(now, alone)
+	q.reserve.SetFleetSize(now, known, suspectAfter)
+	q.reserve.SetDisconnected(now, disconnected)
 	for key, c := range q.charged {
 		if now.After(c.expires) {
 			delete(q.charged, key)
@@ -123,87 +125,88 @@
 	}
 }
 
-// heardShare is the part of the fleet that this VM hears.
-func (n *Node) heardShare() float64 {
+// responsiveShare returns the share of the fleet's VMs that are responsive to this VM, from 0 to 1.
+func (n *Node) responsiveShare() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return float64(n.roster.ResponsiveCount()) / float64(n.roster.Size())
 }
 
-// acts reports whether other VMs ask this one.
-func (n *Node) acts() bool { return *n.acting.Load() == coord.VMID(n.settings.Vm.Id) }
+// isLeader reports whether this VM is the leader.
+func (n *Node) isLeader() bool { return *n.leader.Load() == coord.VMID(n.settings.Vm.Id) }
 
-// isAlone reports whether nobody answers this VM's questions.
-func (n *Node) isAlone() bool {
-	return *n.acting.Load() == "" || !n.acts() && n.silence.isQuiet()
+// isDisconnected reports whether this VM knows no leader or the leader is unresponsive.
+func (n *Node) isDisconnected() bool {
+	return *n.leader.Load() == "" || !n.isLeader() && n.leaderMonitor.isUnresponsive()
 }
 
-// emptyTime is how long after its beginning a ledger lets requests wait: it is empty then, and
-// callers come back all at once after a loss of all VMs, so that what it refuses is mostly
-// owed: 499 of 620 requests in its first 0.5 s on a played day with 72 VMs. Later, a request of
-// a team that asks for too much would only wait in vain before the others.
-const emptyTime = time.Second
+// newLedgerWaitTime is how long after its start a ledger lets requests wait. A new ledger is empty,
+// and after a loss of all VMs the callers return all at once, so that most of the requests it
+// refuses are within their quotas: in a fleet of 72 VMs, 499 of 620 requests in the first 0.5 s
+// were refused. Later, a request of a team over its quota would only wait in vain ahead of others.
+const newLedgerWaitTime = time.Second
 
-// admit charges a request that other VMs, or this one, put to this VM. It returns a refusal if
-// its team is over its quota. While the ledger is new a request waits until its units are
-// there, if they are in time.
+// admit charges a request to its team. It returns a refusal if the team is over its quota. While
+// the ledger is new, the request waits until its units are available, provided that they are in
+// time.
 func (q *quotas) admit(ctx context.Context, from coord.VMID, a *schema.Admit) *schema.Verdict {
 	if a.Team == "" || a.Cost <= 0 {
 		return nil
 	}
 	key := coord.RequestKey{VM: from, Ticket: a.Ticket}
-	until := q.node.now().Add(time.Duration(a.LeftMs) * time.Millisecond)
+	deadline := q.node.now().Add(time.Duration(a.LeftMs) * time.Millisecond)
 	for {
 		ok, wait := q.charge(key, a)
 		if ok {
 			return nil
 		}
-		left := q.wait(key, until, wait)
-		if left == nil {
-			q.refused(a)
+		ended := q.startWait(key, deadline, wait)
+		if ended == nil {
+			q.recordRefusal(a)
 			return &schema.Verdict{Reason: reasonQuota, RetryAfterMs: wait.Milliseconds(), OverQuota: true}
 		}
 		select {
 		case <-ctx.Done():
-		case <-left:
+		case <-ended:
 		case <-time.After(wait):
 		}
-		if !q.resume(key, a) || ctx.Err() != nil {
-			return refusal("verdict_timeout", unknownPause)
+		if !q.endWait(key, a) || ctx.Err() != nil {
+			return refusalMessage("verdict_timeout", noDecisionRetryDelay)
 		}
-		if !q.node.acts() {
-			return refusal(scheduler.ReasonNotLeader, 0)
+		if !q.node.isLeader() {
+			return refusalMessage(scheduler.ReasonNotLeader, 0)
 		}
 	}
 }
 
-// wait lets a request that is to be served before until wait so long. left is closed when it
-// ends before; nil: it does not wait.
-func (q *quotas) wait(key coord.RequestKey, until time.Time, wait time.Duration) (left chan struct{}) {
+// startWait registers a request to wait for the given time. It returns nil, and the request does
+// not wait, if the wait would last until the deadline or beyond newLedgerWaitTime. ended is closed
+// when the request ends first.
+func (q *quotas) startWait(key coord.RequestKey, deadline time.Time, wait time.Duration) (ended chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	due := q.node.now().Add(wait)
-	if !due.Before(until) || !due.Before(q.begun.Add(emptyTime)) {
+	if !due.Before(deadline) || !due.Before(q.ledgerStarted.Add(newLedgerWaitTime)) {
 		return nil
 	}
-	left = make(chan struct{})
-	q.waiting[key] = left
-	return left
+	ended = make(chan struct{})
+	q.waiting[key] = ended
+	return ended
 }
 
-// resume ends the wait of a request and the promise of its units, which it takes now if it
-// is still there.
-func (q *quotas) resume(key coord.RequestKey, a *schema.Admit) (there bool) {
+// endWait ends the wait of a request and cancels the promise of its units, which the request
+// charges now. It reports whether the request is still pending.
+func (q *quotas) endWait(key coord.RequestKey, a *schema.Admit) (pending bool) {
 	now := q.node.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.CancelPromise(now, a.Team, a.Cost)
-	_, there = q.waiting[key]
+	_, pending = q.waiting[key]
 	delete(q.waiting, key)
-	return there
+	return pending
 }
 
-// charge takes a request's units from the ledger, or says when they are there.
+// charge charges a request to the ledger, or returns the time until its units are available.
 func (q *quotas) charge(key coord.RequestKey, a *schema.Admit) (ok bool, wait time.Duration) {
 	now := q.node.now()
 	q.mu.Lock()
@@ -211,33 +214,35 @@
 	if ok, wait = q.ledger.Charge(now, a.Team, a.Cost); !ok {
 		return false, wait
 	}
-	q.count(a.Team, a.Cost, true)
+	q.recordCost(a.Team, a.Cost, true)
 	q.charged[key] = charge{
 		team: a.Team, cost: a.Cost, expires: now.Add(time.Duration(a.LeftMs)*time.Millisecond + chargeGrace),
 	}
 	return true, 0
 }
 
-func (q *quotas) refused(a *schema.Admit) {
+func (q *quotas) recordRefusal(a *schema.Admit) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.count(a.Team, a.Cost, false)
+	q.recordCost(a.Team, a.Cost, false)
 }
 
-// chargeGrace is how long after its deadline a charge without an end is remembered.
+// chargeGrace is how long after its deadline the charge of a request without a reported end is
+// kept.
 const chargeGrace = time.Second
 
-// ended takes the end of a request; what did not run is given back.
-func (q *quotas) ended(from coord.VMID, ticket uint64, ran bool) {
+// requestEnded records the end of a request. It refunds a request that did not run and ends the
+// wait of a waiting one.
+func (q *quotas) requestEnded(from coord.VMID, ticket uint64, ran bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	key := coord.RequestKey{VM: from, Ticket: ticket}
-	if left := q.waiting[key]; left != nil {
+	if ended := q.waiting[key]; ended != nil {
 		delete(q.waiting, key)
-		close(left)
+		close(ended)
 	}
-	c, held := q.charged[key]
-	if !held {
+	c, found := q.charged[key]
+	if !found {
 		return
 	}
 	delete(q.charged, key)
@@ -246,8 +251,9 @@
 	}
 }
 
-// alone charges a request that nobody gave a verdict on. It reports whether it may go.
-func (q *quotas) alone(r *gateway.AdmitRequest) bool {
+// chargeReserve charges a request without a decision of the leader to this VM's reserve. It reports
+// whether the request is within the quota.
+func (q *quotas) chargeReserve(r *gateway.AdmitRequest) bool {
 	if r.Team == "" || r.Cost <= 0 {
 		return true
 	}
@@ -256,11 +262,11 @@
 	defer q.mu.Unlock()
 	q.reserve.SetDisconnected(now, true)
 	ok := q.reserve.Charge(now, r.Team, r.Cost, rand.Float64())
-	q.count(r.Team, r.Cost, ok)
+	q.recordCost(r.Team, r.Cost, ok)
 	return ok
 }
 
-func (q *quotas) count(team string, cost float64, ok bool) {
+func (q *quotas) recordCost(team string, cost float64, charged bool) {
 	c := q.teams[team]
 	if c == nil {
 		if len(q.teams) >= maxTeams {
@@ -271,22 +277,23 @@
 			q.teams[team] = c
 		}
 	}
-	if ok {
+	if charged {
 		c.Charged += cost
 	} else {
 		c.Refused += cost
 	}
 }
 
-// TeamAccount is one team's account, for operators.
+// TeamAccount is the account of one team, for operators.
 type TeamAccount struct {
 	TeamCount
-	// Level is how full its account at this VM is: 1 when nothing was taken.
+	// Level is how full the team's account at this VM is: 1 if nothing was charged, below 0 if it
+	// is in debt.
 	Level float64
 }
 
-// rows lists the accounts of teams at this VM.
-func (q *quotas) rows() map[string]TeamAccount {
+// accounts returns the accounts of teams at this VM by name.
+func (q *quotas) accounts() map[string]TeamAccount {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	out := make(map[string]TeamAccount, len(q.teams))
--- a/internal/edge/ratelimits.go
+++ b/internal/edge/ratelimits.go
@@ -13,54 +13,55 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// rateLimits knows which targets limit the rate of their requests. The VM that is asked for targets
-// paces the requests; it hears what answers say from the VMs that got them. The others keep a copy for
-// when they are asked, or nobody is. Lock order: applying, then schedules.mu or lines.mu, then mu.
+// rateLimits holds the targets that limit the rate of their requests. The leader paces the
+// requests; the VMs that receive answers report the limits in them to it. The other VMs keep a copy
+// for when they become the leader or there is none. Lock order: applyMu, then schedulers.mu or
+// queues.mu, then mu.
 type rateLimits struct {
 	node *Node
 
-	// applying makes changes reach the schedulers and lines in order.
-	applying sync.Mutex
-	mu       sync.Mutex
-	table    *ratelimit.Table
-	// share is the part of the fleet that this VM hears.
+	// applyMu makes changes reach the schedulers and queues in order.
+	applyMu sync.Mutex
+	mu      sync.Mutex
+	table   *ratelimit.Table
+	// share is the share of the fleet that is responsive to this VM.
 	share float64
 }
 
-// retellBelow is the part of a limit that a lower one must be below for all VMs to be told at once; the
-// VM that paces is told of each.
-const retellBelow = 0.75
+// broadcastBelow is the ratio to the previous limit below which a lower limit is sent to all VMs at
+// once. The leader is notified of every change.
+const broadcastBelow = 0.75
 
 func newRateLimits(n *Node) *rateLimits {
 	return &rateLimits{node: n, table: ratelimit.NewTable(n.tickets.Load()), share: 1}
 }
 
-// heard takes what an answer to this VM says of its target's limit. v is the verdict on which the
-// answered request was sent; nil: it is not known, or was none.
-func (rl *rateLimits) heard(target string, limit fleet.RateLimit, v *gateway.Decision) {
+// observeAnswer applies the rate limit of an answer to this VM. d is the decision under which the
+// answered request was sent; nil if it is unknown or there was none.
+func (rl *rateLimits) observeAnswer(target string, limit fleet.RateLimit, d *gateway.Decision) {
 	unreadable := limit.Present && limit.PerSecond == fleet.InvalidRate
-	if unreadable || !limit.Present && (v == nil || v.RateLimit.Stamp == 0) {
+	if unreadable || !limit.Present && (d == nil || d.RateLimit.Stamp == 0) {
 		return
 	}
 	m := &schema.RateLimit{Target: target, PerSecond: limit.PerSecond, Ended: !limit.Present}
-	if limit.Present && rl.lowered(target, limit.PerSecond) {
-		rl.tellAll(m)
+	if limit.Present && rl.observeLimit(target, limit.PerSecond) {
+		rl.broadcast(m)
 		return
 	}
-	if v == nil || limit.Present && v.RateLimit.Stamp != 0 && v.RateLimit.PerSecond == limit.PerSecond {
+	if d == nil || limit.Present && d.RateLimit.Stamp != 0 && d.RateLimit.PerSecond == limit.PerSecond {
 		return
 	}
-	m.Stamp = v.RateLimit.Stamp
-	if coord.VMID(v.DecidedBy) == coord.VMID(rl.node.settings.Vm.Id) {
-		rl.take(coord.VMID(v.DecidedBy), m)
+	m.Stamp = d.RateLimit.Stamp
+	if coord.VMID(d.DecidedBy) == coord.VMID(rl.node.settings.Vm.Id) {
+		rl.handleReport(coord.VMID(d.DecidedBy), m)
 		return
 	}
-	go rl.node.tell(coord.VMID(v.DecidedBy), rateLimitsCall(m))
+	go rl.node.notify(coord.VMID(d.DecidedBy), rateLimitsCall(m))
 }
 
-// lowered takes a limit that is new or lower than the known one. It reports whether all VMs are to be
-// told.
-func (rl *rateLimits) lowered(target string, perSecond float64) (tell bool) {
+// observeLimit applies a limit if it is new or lower than the known one. It reports whether all VMs
+// are to be notified.
+func (rl *rateLimits) observeLimit(target string, perSecond float64) (notifyAll bool) {
 	rl.mu.Lock()
 	before := rl.table.Limit(target)
 	changed := rl.table.ObserveLimit(rl.node.now(), target, perSecond, 0)
@@ -70,18 +71,19 @@
 	}
 	rl.node.log.RateLimitAnnounced(target, perSecond)
 	rl.apply()
-	return before.Stamp == 0 || perSecond < retellBelow*before.PerSecond
+	return before.Stamp == 0 || perSecond < broadcastBelow*before.PerSecond
 }
 
-// take takes what another VM heard, or this one in an answer to a request that it placed.
-func (rl *rateLimits) take(from coord.VMID, m *schema.RateLimit) {
-	acts := rl.node.acts()
+// handleReport applies a limit that another VM reported, or that this VM saw in the answer to a
+// request under its own decision.
+func (rl *rateLimits) handleReport(from coord.VMID, m *schema.RateLimit) {
+	leading := rl.node.isLeader()
 	now := rl.node.now()
 	rl.mu.Lock()
 	before := rl.table.Limit(m.Target)
 	changed := false
 	switch {
-	case m.InForce && (acts || from != *rl.node.acting.Load()):
+	case m.InForce && (leading || from != *rl.node.leader.Load()):
 	case m.InForce:
 		rl.table.ApplyUpdate(now, m.Target, m.PerSecond, m.Ended)
 		changed = true
@@ -98,8 +100,8 @@
 		rl.logChange(m)
 	}
 	rl.apply()
-	if acts && (m.Ended || m.PerSecond > before.PerSecond/retellBelow) && before.Stamp != 0 {
-		rl.tellAll(&schema.RateLimit{Target: m.Target, PerSecond: m.PerSecond, Ended: m.Ended, InForce: true})
+	if leading && (m.Ended || m.PerSecond > before.PerSecond/broadcastBelow) && before.Stamp != 0 {
+		rl.broadcast(&schema.RateLimit{Target: m.Target, PerSecond: m.PerSecond, Ended: m.Ended, InForce: true})
 	}
 }
 
@@ -111,23 +113,24 @@
 	rl.node.log.RateLimitAnnounced(m.Target, m.PerSecond)
 }
 
-// apply carries the limits to the schedulers and lines.
+// apply passes the limits to the schedulers and queues.
 func (rl *rateLimits) apply() {
-	rl.applying.Lock()
-	defer rl.applying.Unlock()
+	rl.applyMu.Lock()
+	defer rl.applyMu.Unlock()
 	rates, share := rl.current()
-	rl.node.schedules.setRates(rates, share)
-	rl.node.lines.setRates(rates, share)
+	rl.node.schedulers.setRates(rates, share)
+	rl.node.queues.setRates(rates, share)
 }
 
-// current returns the limits in force and this VM's share of them.
+// current returns the limits in force, in requests per second by target, and the share of the fleet
+// that is responsive to this VM.
 func (rl *rateLimits) current() (rates map[string]float64, share float64) {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	return rl.table.Rates(), rl.share
 }
 
-// tick follows the fleet, and forgets targets that are gone.
+// tick updates the responsive share of the fleet and drops the limits of removed targets.
 func (rl *rateLimits) tick(share float64) {
 	d := rl.node.feed.Directory()
 	rl.mu.Lock()
@@ -140,8 +143,8 @@
 	}
 }
 
-// tellTo tells a VM that has started, or is heard again, of all limits.
-func (rl *rateLimits) tellTo(vm coord.VMID) {
+// sendLimitsTo sends all limits to a VM that has started or is responsive again.
+func (rl *rateLimits) sendLimitsTo(vm coord.VMID) {
 	rates, _ := rl.current()
 	if len(rates) == 0 {
 		return
@@ -150,13 +153,13 @@
 	for id, rate := range rates {
 		all = append(all, &schema.RateLimit{Target: id, PerSecond: rate})
 	}
-	go rl.node.tell(vm, rateLimitsCall(all...))
+	go rl.node.notify(vm, rateLimitsCall(all...))
 }
 
-func (rl *rateLimits) tellAll(m *schema.RateLimit) {
+func (rl *rateLimits) broadcast(m *schema.RateLimit) {
 	call := rateLimitsCall(m)
-	for _, vm := range rl.node.others() {
-		go rl.node.tell(vm, call)
+	for _, vm := range rl.node.livePeers() {
+		go rl.node.notify(vm, call)
 	}
 }
 
@@ -178,12 +181,16 @@
 	return rl.table.Targets()
 }
 
-// setRates replaces the limits of targets.
-func (ss *schedules) setRates(rates map[string]float64, share float64) {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.SetRates(now, rates, share) })
+// setRates replaces the rate limits of targets.
+func (ss *schedulers) setRates(rates map[string]float64, share float64) {
+	ss.each(func(sc *serviceScheduler, now time.Time) []scheduler.Action {
+		return sc.scheduler.SetRates(now, rates, share)
+	})
 }
 
-// setRates replaces the limits of targets.
-func (ls *lines) setRates(rates map[string]float64, share float64) {
-	ls.each(func(pl *plainLine, now time.Time) []servicequeue.Action { return pl.l.SetRates(now, rates, share) })
+// setRates replaces the rate limits of targets.
+func (qs *queues) setRates(rates map[string]float64, share float64) {
+	qs.each(func(sq *serviceQueue, now time.Time) []servicequeue.Action {
+		return sq.queue.SetRates(now, rates, share)
+	})
 }
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -9,15 +9,15 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Reload takes changed settings: seeds and the retry allowance are in force at
-// once. Whatever else changed needs a restart; the log names it.
+// Reload applies changed settings. Seeds and the retry allowance take effect at once; all other
+// changes need a restart, and the log names their sections.
 func (n *Node) Reload(s *schema.EdgeSettings) {
 	n.mu.Lock()
-	old := n.inForce
-	next := proto.Clone(old).(*schema.EdgeSettings)
-	next.Listen.Seeds = s.Listen.Seeds
-	next.Retry = s.Retry
-	n.inForce = next
+	old := n.activeSettings
+	merged := proto.Clone(old).(*schema.EdgeSettings)
+	merged.Listen.Seeds = s.Listen.Seeds
+	merged.Retry = s.Retry
+	n.activeSettings = merged
 	n.mu.Unlock()
 	var applied []string
 	if !slices.Equal(old.Listen.Seeds, s.Listen.Seeds) {
@@ -27,18 +27,19 @@
 		n.gateway.SetRetry(retry.Config{Ratio: s.Retry.Ratio, Slack: s.Retry.Slack})
 		applied = append(applied, "retry")
 	}
-	n.log.SettingsReloaded(applied, needRestart(next, s))
+	n.log.SettingsReloaded(applied, sectionsNeedingRestart(merged, s))
 }
 
-// needRestart names the sections in which s differs from what is in force.
-func needRestart(inForce, s *schema.EdgeSettings) []string {
+// sectionsNeedingRestart returns the names of the sections in which s differs from the active
+// settings.
+func sectionsNeedingRestart(active, s *schema.EdgeSettings) []string {
 	var out []string
 	for _, section := range []struct {
 		name string
 		a, b proto.Message
 	}{
-		{"vm", inForce.Vm, s.Vm}, {"listen", inForce.Listen, s.Listen}, {"store", inForce.Store, s.Store},
-		{"times", inForce.Times, s.Times}, {"quota", inForce.Quota, s.Quota}, {"orders", inForce.Orders, s.Orders}, {"log", inForce.Log, s.Log},
+		{"vm", active.Vm, s.Vm}, {"listen", active.Listen, s.Listen}, {"store", active.Store, s.Store},
+		{"times", active.Times, s.Times}, {"quota", active.Quota, s.Quota}, {"orders", active.Orders, s.Orders}, {"log", active.Log, s.Log},
 	} {
 		if !proto.Equal(section.a, section.b) {
 			out = append(out, section.name)
@@ -47,9 +48,9 @@
 	return out
 }
 
-// seeds returns the seeds in force.
+// seeds returns the active seeds.
 func (n *Node) seeds() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.inForce.Listen.Seeds
+	return n.activeSettings.Listen.Seeds
 }
--- a/internal/edge/run.go
+++ b/internal/edge/run.go
@@ -10,35 +10,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Times of the node's loops.
+// Timing and bounds of the node's loops and servers.
 const (
-	// tickEvery drives the scheduler's timers and expiries.
-	tickEvery = 20 * time.Millisecond
-	// tidyEvery is the time between two clean-ups.
-	tidyEvery = 500 * time.Millisecond
-	// headerTimeout bounds the time a caller takes to send a request's head;
-	// callers here stay well within.
+	// tickInterval is the time between two checks of timers and expiries.
+	tickInterval = 20 * time.Millisecond
+	// pruneInterval is the time between two removals of expired state.
+	pruneInterval = 500 * time.Millisecond
+	// headerTimeout bounds the time for reading a request's header. Callers of this system stay
+	// well within it.
 	headerTimeout = 10 * time.Second
-	// idleTimeout keeps callers' connections; callers close them earlier.
+	// idleTimeout bounds idle connections of callers. Callers close them earlier.
 	idleTimeout = 60 * time.Second
-	// maxHeader bounds a head in memory, in bytes; the configuration's own limit
-	// is lower.
-	maxHeader = 64 << 10
+	// maxHeaderBytes bounds a request's header in memory. The configuration's own limit is lower.
+	maxHeaderBytes = 64 << 10
 )
 
-// Run serves until the context ends, then drains.
+// Run serves until the context ends, then drains. It returns the error of a server that failed.
 func (n *Node) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.Background())
+	loopCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){n.feed.Run, n.feed.RunConfirmation, n.beatLoop, n.tickLoop, n.seedLoop} {
-		wg.Go(func() { loop(work) })
+	for _, loop := range []func(context.Context){n.feed.Run, n.feed.RunConfirmation, n.heartbeatLoop, n.tickLoop, n.seedLoop} {
+		wg.Go(func() { loop(loopCtx) })
 	}
 	go n.mesh.Serve(n.peerListener)
-	door := newServer(n.gateway)
-	servers := []*http.Server{door}
+	frontEnd := newServer(n.gateway)
+	servers := []*http.Server{frontEnd}
 	failed := make(chan error, 3)
-	serve(door, n.doorListener, failed)
+	serve(frontEnd, n.frontEndListener, failed)
 	ready := newServer(http.HandlerFunc(n.serveReady))
 	servers = append(servers, ready)
 	serve(ready, n.readyListener, failed)
@@ -51,7 +50,7 @@
 	var err error
 	select {
 	case <-ctx.Done():
-		n.shutdown(door)
+		n.shutdown(frontEnd)
 	case err = <-failed:
 	}
 	stop()
@@ -59,7 +58,7 @@
 	for _, s := range servers {
 		_ = s.Close() // nothing is left to save
 	}
-	_ = n.peerListener.Close() // the same
+	_ = n.peerListener.Close() // nothing is left to save
 	n.mesh.Close()
 	n.orders.StopAndWait()
 	n.reports.StopAndWait()
@@ -69,7 +68,7 @@
 
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: nil,
 	}
 }
@@ -84,60 +83,60 @@
 
 func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write([]byte(n.metrics.Map.String())) // the reader may have left
+	_, _ = w.Write([]byte(n.metrics.Map.String())) // the client may have disconnected
 }
 
 // Shares of the time between SIGTERM and SIGKILL.
 const (
-	// acceptTime is how long new connections are still taken: the balancer needs
-	// two missed checks, a second apart, and connections on their way.
-	acceptTime = 2500 * time.Millisecond
-	// exitMargin is left at the end.
+	// drainAcceptTime is how long new connections are still accepted. The load balancer needs two
+	// failed checks, one second apart, to stop, and connections may be in flight.
+	drainAcceptTime = 2500 * time.Millisecond
+	// exitMargin is the time reserved for the exit after the drain.
 	exitMargin = 400 * time.Millisecond
 )
 
-// shutdown stops being ready, serves what still comes with the word that each
-// connection ends, and waits for open requests within the grace.
-func (n *Node) shutdown(door *http.Server) {
+// shutdown reports this VM as not ready, serves remaining requests while closing each connection
+// after its answer, and waits for open requests within the grace period.
+func (n *Node) shutdown(frontEnd *http.Server) {
 	grace := time.Duration(n.settings.Times.GraceS * float64(time.Second))
 	end := n.now().Add(grace - exitMargin)
 	n.log.Draining(n.gateway.OpenRequests())
-	n.drain.Store(true)
+	n.draining.Store(true)
 	n.gateway.Drain()
 	n.mu.Lock()
 	n.roster.SetLeaving()
 	n.mu.Unlock()
-	n.updateDuty()
-	n.beatAll()
-	time.Sleep(min(acceptTime, n.until(end)))
+	n.updateLeadership()
+	n.sendHeartbeatToAll()
+	time.Sleep(min(drainAcceptTime, n.until(end)))
 	ctx, cancel := context.WithTimeout(context.Background(), n.until(end))
 	defer cancel()
-	if err := door.Shutdown(ctx); err != nil {
+	if err := frontEnd.Shutdown(ctx); err != nil {
 		n.log.DrainIncomplete(n.gateway.OpenRequests(), err)
 	}
 }
 
-// tickLoop drives timers.
+// tickLoop runs periodic work until the context ends.
 func (n *Node) tickLoop(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var tidied time.Time
+	var prunedAt time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		n.wake()
-		n.schedules.tick()
-		n.lines.tick()
-		n.contents.tick()
-		n.watchActing()
+		n.checkSuspension()
+		n.schedulers.tick()
+		n.queues.tick()
+		n.quarantine.tick()
+		n.probeLeader()
 		now := n.now()
-		if now.Sub(tidied) < tidyEvery {
+		if now.Sub(prunedAt) < pruneInterval {
 			continue
 		}
-		tidied = now
+		prunedAt = now
 		n.gateway.Prune()
 	}
 }
--- a/internal/edge/running.go
+++ b/internal/edge/running.go
@@ -10,48 +10,48 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// running is the model requests of this VM that were granted a target. Lock order:
-// running.mu is taken alone.
-type running struct {
+// runningRequests holds the model requests of this VM that were granted a target. Lock order: no
+// other lock is acquired while runningRequests.mu is held.
+type runningRequests struct {
 	now func() time.Time
 
 	mu     sync.Mutex
 	grants map[uint64]runningGrant
 }
 
-// runningGrant is one of them.
+// runningGrant is the grant of one running request.
 type runningGrant struct {
 	grant    *schema.Grant
 	deadline time.Time
 }
 
-func newRunning(now func() time.Time) *running {
-	return &running{now: now, grants: map[uint64]runningGrant{}}
+func newRunningRequests(now func() time.Time) *runningRequests {
+	return &runningRequests{now: now, grants: map[uint64]runningGrant{}}
 }
 
-func (r *running) add(a *gateway.AdmitRequest, v gateway.Decision) {
+func (r *runningRequests) add(a *gateway.AdmitRequest, d gateway.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.grants[v.Ticket] = runningGrant{deadline: a.Deadline, grant: grantMessage(r.now(), a, v)}
+	r.grants[d.Ticket] = runningGrant{deadline: a.Deadline, grant: grantMessage(r.now(), a, d)}
 }
 
-func grantMessage(now time.Time, a *gateway.AdmitRequest, v gateway.Decision) *schema.Grant {
+func grantMessage(now time.Time, a *gateway.AdmitRequest, d gateway.Decision) *schema.Grant {
 	return &schema.Grant{
-		Ticket: v.Ticket, Service: v.Service, Target: v.Target,
+		Ticket: d.Ticket, Service: d.Service, Target: d.Target,
 		Model: a.Request.Adapter.Model, Adapter: a.Request.Adapter.Adapter,
 		Tokens: int32(a.Request.PromptTokens + a.Request.OutputTokens),
 		LeftMs: a.Deadline.Sub(now).Milliseconds(), Content: a.Content[:],
 	}
 }
 
-func (r *running) remove(ticket uint64) {
+func (r *runningRequests) remove(ticket uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.grants, ticket)
 }
 
-// message lists them for a VM that begins to schedule.
-func (r *running) message() *schema.Running {
+// message returns all grants for a VM that becomes the leader.
+func (r *runningRequests) message() *schema.Running {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out, now := &schema.Running{Complete: true}, r.now()
@@ -62,28 +62,29 @@
 	return out
 }
 
-// tellRunning tells the VM that is asked from now on what runs.
-func (n *Node) tellRunning(acting coord.VMID) {
-	if acting == "" {
+// reportRunning reports the running requests of this VM to a new leader.
+func (n *Node) reportRunning(leader coord.VMID) {
+	if leader == "" {
 		return
 	}
 	m := n.running.message()
-	if acting == coord.VMID(n.settings.Vm.Id) {
-		n.schedules.adopt(acting, m)
+	if leader == coord.VMID(n.settings.Vm.Id) {
+		n.schedulers.adopt(leader, m)
 		return
 	}
-	go n.tell(acting, &schema.Call{Body: &schema.Call_Running{Running: m}})
+	go n.notify(leader, &schema.Call{Body: &schema.Call_Running{Running: m}})
 }
 
-// adopt takes what runs at targets on the word of an earlier scheduler.
-func (ss *schedules) adopt(from coord.VMID, m *schema.Running) {
+// adopt records the requests that a VM reports as running at targets under decisions of an earlier
+// leader.
+func (ss *schedulers) adopt(from coord.VMID, m *schema.Running) {
 	now := ss.node.now()
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	for _, g := range m.Grants {
-		ss.node.contents.began(from, g.Ticket, g.Content, g.Target, time.Duration(g.LeftMs)*time.Millisecond)
+		ss.node.quarantine.requestStarted(from, g.Ticket, g.Content, g.Target, time.Duration(g.LeftMs)*time.Millisecond)
 		if sc := ss.services[g.Service]; sc != nil {
-			sc.s.Adopt(now, scheduler.Key{VM: from, Ticket: g.Ticket}, g.Target,
+			sc.scheduler.Adopt(now, scheduler.Key{VM: from, Ticket: g.Ticket}, g.Target,
 				coord.AdapterRef{Model: g.Model, Adapter: g.Adapter}, int(g.Tokens),
 				now.Add(time.Duration(g.LeftMs)*time.Millisecond))
 		}
@@ -92,6 +93,6 @@
 		return
 	}
 	for _, sc := range ss.services {
-		sc.s.RunningReported(now, from)
+		sc.scheduler.RunningReported(now, from)
 	}
 }
--- a/internal/edge/schedule.go
+++ b/internal/edge/schedule.go
@@ -14,35 +14,35 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// schedules holds a scheduler for each service with engines. Every VM keeps them
-// up to date; only the acting VM is asked, and only the holder of the duty gives
-// orders. Lock order: schedules.mu before Node.mu and before Feed.mu.
-type schedules struct {
+// schedulers holds a scheduler for each service with engines. Every VM keeps them up to date. Only
+// the leader receives requests, and only a VM with a lease sends orders. Lock order: schedulers.mu
+// before Node.mu and before Feed.mu.
+type schedulers struct {
 	node *Node
 
 	mu       sync.Mutex
-	services map[string]*schedule
-	acting   bool
-	// fence is the number under which this VM orders; 0: it does not.
-	fence uint64
+	services map[string]*serviceScheduler
+	leading  bool
+	// fencingToken is the token under which this VM sends orders; 0: it sends none.
+	fencingToken uint64
 }
 
-// schedule is the scheduler of one service.
-type schedule struct {
-	service string
-	s       *scheduler.Scheduler
-	waiters waiters
-	targets map[string]*fleet.Target
-	// revision of the store that targets show.
+// serviceScheduler is the scheduler of one service.
+type serviceScheduler struct {
+	service   string
+	scheduler *scheduler.Scheduler
+	waiters   waiters
+	targets   map[string]*fleet.Target
+	// revision is the store revision that targets reflects.
 	revision fleet.Revision
 }
 
-func newSchedules(n *Node) *schedules {
-	return &schedules{node: n, services: map[string]*schedule{}}
+func newSchedulers(n *Node) *schedulers {
+	return &schedulers{node: n, services: map[string]*serviceScheduler{}}
 }
 
-// apply carries a changed directory in.
-func (ss *schedules) apply(d *feed.Directory) {
+// apply applies a changed directory.
+func (ss *schedulers) apply(d *feed.Directory) {
 	if d.Config == nil {
 		return
 	}
@@ -57,59 +57,58 @@
 	runAll(work)
 }
 
-func (ss *schedules) applyService(d *feed.Directory, name string, engine *fleet.Engine) []func() {
+func (ss *schedulers) applyService(d *feed.Directory, name string, engine *fleet.Engine) []func() {
 	now := ss.node.now()
 	cfg := schedulerConfig(engine, ss.node.settings.Orders.LoadOver)
 	sc := ss.services[name]
 	if sc == nil {
-		sc = &schedule{service: name, s: scheduler.New(cfg), waiters: waiters{}}
+		sc = &serviceScheduler{service: name, scheduler: scheduler.New(cfg), waiters: waiters{}}
 		ss.services[name] = sc
 		rates, share := ss.node.rateLimits.current()
-		sc.s.SetRates(now, rates, share)
-		sc.s.SetLeading(now, ss.acting, nil)
-		sc.s.SetLease(now, ss.fence)
+		sc.scheduler.SetRates(now, rates, share)
+		sc.scheduler.SetLeading(now, ss.leading, nil)
+		sc.scheduler.SetLease(now, ss.fencingToken)
 	}
-	sc.s.Configure(cfg)
+	sc.scheduler.Configure(cfg)
 	sc.targets = map[string]*fleet.Target{}
 	sc.revision = d.Revision
-	var listed []scheduler.AnnouncedTarget
+	var announced []scheduler.AnnouncedTarget
 	for _, t := range d.TargetsOf(name) {
 		sc.targets[t.ID] = t
-		listed = append(listed, scheduler.AnnouncedTarget{
-			ID: t.ID, Ready: t.State == fleet.TargetReady, Resident: holdings(t.Resident),
+		announced = append(announced, scheduler.AnnouncedTarget{
+			ID: t.ID, Ready: t.State == fleet.TargetReady, Resident: residentItems(t.Resident),
 		})
 	}
-	work := ss.carryOut(sc, sc.s.SetTargets(now, listed))
+	work := ss.applyActions(sc, sc.scheduler.SetTargets(now, announced))
 	for _, v := range d.Versions {
-		work = append(work, ss.carryOut(sc, sc.s.SetVersion(now, v.Ref, v.Version))...)
+		work = append(work, ss.applyActions(sc, sc.scheduler.SetVersion(now, v.Ref, v.Version))...)
 	}
 	return work
 }
 
-// Figures that turn an engine's configuration into the scheduler's.
+// Parameters that derive the scheduler's configuration from an engine's.
 const (
-	// transitPerLoad is how many adapters may be on their way for each load that
-	// the weight store serves at full speed, by the users' measurement: beyond,
-	// all of them take longer.
-	transitPerLoad = 8
-	// loadsPerSlot is how many loads a second the weight store begins for each load
-	// that it serves at full speed, at most, on the deployments known so far (2.8 to
-	// 8). The number served at once itself is not published: this is where the search
-	// for it begins.
-	loadsPerSlot = 8.0
-	// modelGapMargin keeps loads of base models a little below the rate that is
-	// allowed, since they are counted where they begin.
-	modelGapMargin = 1.1
+	// transfersPerConcurrentLoad is the number of adapter loads that may be in flight for each load
+	// that the weight store serves concurrently at full speed. Beyond it, all loads take longer.
+	transfersPerConcurrentLoad = 8
+	// loadRatePerConcurrentLoad is the greatest number of loads per second that the weight store
+	// starts for each load that it serves concurrently at full speed, in the known deployments (2.8
+	// to 8). The number of concurrent loads is not published: the search for it starts from this
+	// estimate.
+	loadRatePerConcurrentLoad = 8.0
+	// modelLoadIntervalMargin keeps loads of base models slightly below the permitted rate, since
+	// the rate counts loads where they start.
+	modelLoadIntervalMargin = 1.1
 )
 
-func schedulerConfig(e *fleet.Engine, over float64) scheduler.Config {
+func schedulerConfig(e *fleet.Engine, loadOver float64) scheduler.Config {
 	cfg := scheduler.Config{
 		AdapterSlots: e.AdapterSlots, Batch: e.Batch, CacheTokens: e.CacheTokens,
 		ModelLoadTime: map[string]time.Duration{},
-		MaxLoads:      transitPerLoad * max(1, int(math.Ceil(e.StoreLoadsPerSecond/loadsPerSlot))),
+		MaxLoads:      transfersPerConcurrentLoad * max(1, int(math.Ceil(e.StoreLoadsPerSecond/loadRatePerConcurrentLoad))),
 	}
 	if e.StoreLoadsPerSecond > 0 {
-		cfg.ModelLoadInterval = time.Duration(float64(time.Second) / e.StoreLoadsPerSecond / max(over, 1) * modelGapMargin)
+		cfg.ModelLoadInterval = time.Duration(float64(time.Second) / e.StoreLoadsPerSecond / max(loadOver, 1) * modelLoadIntervalMargin)
 	}
 	for _, m := range e.Models {
 		cfg.ModelLoadTime[m.Name] = m.LoadTime
@@ -120,7 +119,7 @@
 	return cfg
 }
 
-func holdings(models []fleet.ResidentModel) []scheduler.ResidentItem {
+func residentItems(models []fleet.ResidentModel) []scheduler.ResidentItem {
 	var out []scheduler.ResidentItem
 	for _, m := range models {
 		out = append(out, scheduler.ResidentItem{Ref: coord.AdapterRef{Model: m.Name}})
@@ -133,59 +132,67 @@
 	return out
 }
 
-// setActing says whether other VMs ask this one, and which they are.
-func (ss *schedules) setActing(acting bool, others []coord.VMID) {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.SetLeading(now, acting, others) })
+// setLeading sets whether this VM is the leader, and which other VMs report their running requests
+// to it.
+func (ss *schedulers) setLeading(leading bool, others []coord.VMID) {
+	ss.each(func(sc *serviceScheduler, now time.Time) []scheduler.Action {
+		return sc.scheduler.SetLeading(now, leading, others)
+	})
 	ss.mu.Lock()
-	ss.acting = acting
+	ss.leading = leading
 	ss.mu.Unlock()
 }
 
-// setLease says under which number this VM orders; 0: it does not.
-func (ss *schedules) setLease(fence uint64) {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.SetLease(now, fence) })
+// setLease sets the fencing token under which this VM sends orders; 0: it sends none.
+func (ss *schedulers) setLease(token uint64) {
+	ss.each(func(sc *serviceScheduler, now time.Time) []scheduler.Action { return sc.scheduler.SetLease(now, token) })
 	ss.mu.Lock()
-	ss.fence = fence
+	ss.fencingToken = token
 	ss.mu.Unlock()
 }
 
-func (ss *schedules) tick() {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.Tick(now) })
+func (ss *schedulers) tick() {
+	ss.each(func(sc *serviceScheduler, now time.Time) []scheduler.Action { return sc.scheduler.Tick(now) })
 }
 
-// silent takes the news that a VM is away.
-func (ss *schedules) silent(vm coord.VMID) {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.VMUnresponsive(now, vm) })
+// vmUnresponsive records that a VM is unresponsive.
+func (ss *schedulers) vmUnresponsive(vm coord.VMID) {
+	ss.each(func(sc *serviceScheduler, now time.Time) []scheduler.Action {
+		return sc.scheduler.VMUnresponsive(now, vm)
+	})
 }
 
-// restarted takes the news that a VM has started anew.
-func (ss *schedules) restarted(vm coord.VMID, incarnation uint64) {
-	ss.each(func(sc *schedule, now time.Time) []scheduler.Action { return sc.s.VMRestarted(now, vm, incarnation) })
+// vmRestarted records that a VM runs a new incarnation.
+func (ss *schedulers) vmRestarted(vm coord.VMID, incarnation uint64) {
+	ss.each(func(sc *serviceScheduler, now time.Time) []scheduler.Action {
+		return sc.scheduler.VMRestarted(now, vm, incarnation)
+	})
 }
 
-func (ss *schedules) each(f func(sc *schedule, now time.Time) []scheduler.Action) {
+func (ss *schedulers) each(f func(sc *serviceScheduler, now time.Time) []scheduler.Action) {
 	now := ss.node.now()
 	ss.mu.Lock()
 	var work []func()
 	for _, sc := range ss.services {
-		work = append(work, ss.carryOut(sc, f(sc, now))...)
+		work = append(work, ss.applyActions(sc, f(sc, now))...)
 	}
 	ss.mu.Unlock()
 	runAll(work)
 }
 
-// stats sums the schedulers of all services; of times it has the longest.
-func (ss *schedules) stats() (sum scheduler.Stats) {
+// stats returns the sums over the schedulers of all services; ColdLoad and WarmLoad are the
+// longest.
+func (ss *schedulers) stats() (sum scheduler.Stats) {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	for _, sc := range ss.services {
-		st := sc.s.Stats()
+		st := sc.scheduler.Stats()
 		sum.Waiting += st.Waiting
 		sum.Loads += st.Loads
 		sum.MaxLoads += st.MaxLoads
 		sum.ColdLoad, sum.WarmLoad = max(sum.ColdLoad, st.ColdLoad), max(sum.WarmLoad, st.WarmLoad)
-		for why, n := range st.Freed {
-			sum.Freed[why] += n
+		for reason, n := range st.Freed {
+			sum.Freed[reason] += n
 		}
 	}
 	return sum
@@ -197,21 +204,21 @@
 	}
 }
 
-// admit asks the scheduler and waits for its verdict.
-func (ss *schedules) admit(ctx context.Context, from coord.VMID, a *schema.Admit) *schema.Verdict {
+// admit submits a request to the scheduler of its service and waits for the decision.
+func (ss *schedulers) admit(ctx context.Context, from coord.VMID, a *schema.Admit) *schema.Verdict {
 	now := ss.node.now()
 	key := scheduler.Key{VM: from, Ticket: a.Ticket}
 	ss.mu.Lock()
 	sc := ss.services[a.Service]
 	if sc == nil {
 		ss.mu.Unlock()
-		return refusal("no_scheduler", unknownPause)
+		return refusalMessage("no_scheduler", noDecisionRetryDelay)
 	}
-	verdict := sc.waiters.add(key)
-	work := ss.carryOut(sc, sc.s.Submit(now, requestFromProto(now, key, a)))
+	decision := sc.waiters.add(key)
+	work := ss.applyActions(sc, sc.scheduler.Submit(now, requestFromProto(now, key, a)))
 	ss.mu.Unlock()
 	runAll(work)
-	return ss.node.awaitVerdict(ctx, now, verdict, func() {
+	return ss.node.awaitDecision(ctx, now, decision, func() {
 		ss.done(from, &schema.Done{Ticket: a.Ticket, Service: a.Service, Ending: schema.Ending_ENDING_ABANDONED})
 	})
 }
@@ -231,13 +238,13 @@
 	return r
 }
 
-// done takes the first event of a request, or its end.
-func (ss *schedules) done(from coord.VMID, d *schema.Done) {
+// done records the first event of a request, or its end.
+func (ss *schedulers) done(from coord.VMID, d *schema.Done) {
 	now := ss.node.now()
 	key := scheduler.Key{VM: from, Ticket: d.Ticket}
-	how, known := endings[d.Ending]
+	ending, known := endings[d.Ending]
 	if !known {
-		how = scheduler.EndedAbandoned
+		ending = scheduler.EndedAbandoned
 	}
 	ss.mu.Lock()
 	sc := ss.services[d.Service]
@@ -246,46 +253,47 @@
 		return
 	}
 	if d.Ending == schema.Ending_ENDING_FIRST_EVENT {
-		sc.s.FirstEvent(now, key)
+		sc.scheduler.FirstEvent(now, key)
 		ss.mu.Unlock()
 		return
 	}
 	delete(sc.waiters, key)
-	work := ss.carryOut(sc, sc.s.Done(now, key, how))
+	work := ss.applyActions(sc, sc.scheduler.Done(now, key, ending))
 	ss.mu.Unlock()
 	runAll(work)
 }
 
-// carryOut gives verdicts to those who wait and returns the orders to give, which
-// are run without the lock.
-func (ss *schedules) carryOut(sc *schedule, acts []scheduler.Action) []func() {
+// applyActions delivers decisions to the waiting requests. It returns functions that submit orders
+// and report reads, which are called without the lock.
+func (ss *schedulers) applyActions(sc *serviceScheduler, actions []scheduler.Action) []func() {
 	var work []func()
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a.Kind {
 		case scheduler.ActGrant:
-			sc.verdict(a, ss.node.rateLimits.Limit(a.Target), ss.node.feed.Age())
+			sc.deliver(a, ss.node.rateLimits.Limit(a.Target), ss.node.feed.Age())
 		case scheduler.ActRefuse:
-			sc.verdict(a, ss.node.rateLimits.Limit(a.Target), ss.node.feed.Age())
+			sc.deliver(a, ss.node.rateLimits.Limit(a.Target), ss.node.feed.Age())
 			if a.Reason != scheduler.ReasonNotLeader {
-				st := sc.s.Stats()
+				st := sc.scheduler.Stats()
 				ss.node.log.SchedulerRefused(string(a.Key.VM), a.Key.Ticket, sc.service, a.Reason, st.Waiting, st.Loads, st.MaxLoads)
 			}
 		case scheduler.ActLoad, scheduler.ActUnload:
 			if t := sc.targets[a.Target]; t != nil {
-				work = append(work, func() { ss.node.orders.Submit(func() { ss.order(sc, t, a) }) })
+				work = append(work, func() { ss.node.orders.Submit(func() { ss.sendOrder(sc, t, a) }) })
 			}
 		case scheduler.ActReadReport:
 			if t := sc.targets[a.Target]; t != nil {
-				work = append(work, func() { ss.node.reports.Submit(func() { ss.read(sc, t) }) })
+				work = append(work, func() { ss.node.reports.Submit(func() { ss.readReport(sc, t) }) })
 			}
 		}
 	}
 	return work
 }
 
-// verdict answers the VM that waits for it. age is that of this VM's copy of the store.
-func (sc *schedule) verdict(a scheduler.Action, limit ratelimit.Limit, age time.Duration) {
-	sc.waiters.answer(a.Key, sc.targets, limit, &schema.Verdict{
+// deliver sends a decision to the request that waits for it. age is the age of this VM's copy of
+// the store.
+func (sc *serviceScheduler) deliver(a scheduler.Action, limit ratelimit.Limit, age time.Duration) {
+	sc.waiters.deliver(a.Key, sc.targets, limit, &schema.Verdict{
 		Target: a.Target, AdapterVersion: a.Version, Priority: int32(a.Priority), RetryAfterMs: a.RetryAfter.Milliseconds(), Reason: a.Reason,
 		FeedRevision: uint64(sc.revision), FeedAgeMs: age.Milliseconds(),
 	})
--- a/internal/edge/silence.go
+++ b/internal/edge/silence.go
@@ -9,127 +9,129 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Times of noticing that the acting VM is silent while requests wait for its verdicts.
-// The roster takes longer (suspectAfter), since it decides who acts and orders.
+// Timing of the detection of an unresponsive leader while requests wait for its decisions. The
+// roster's detection takes longer (suspectAfter), since it determines the leader.
 const (
-	// probeAfter is the silence after which the acting VM is asked for a sign of life:
-	// some times the way there and back and a turn of a busy VM.
+	// probeAfter is the time without a response after which the leader is probed: several network
+	// round trips and the scheduling delay of a busy VM.
 	probeAfter = 150 * time.Millisecond
-	// quietAfter is the silence after which requests that this VM can place by itself
-	// no longer wait: a quarter to a half of the objectives of streams.
-	quietAfter = 300 * time.Millisecond
+	// unresponsiveAfter is the time without a response after which requests that this VM can place
+	// locally no longer wait: a quarter to a half of the latency objectives of streams.
+	unresponsiveAfter = 300 * time.Millisecond
 )
 
-// silence watches the acting VM for signs of life. Lock order: silence.mu is taken
-// alone.
-type silence struct {
+// leaderMonitor detects an unresponsive leader. Lock order: no other lock is acquired while
+// leaderMonitor.mu is held.
+type leaderMonitor struct {
 	mu sync.Mutex
-	// vm is the acting VM; empty: none, or this one.
-	vm      coord.VMID
-	heard   time.Time
-	waiting int
-	// probing says that vm was asked for a sign of life at probedAt and has not
-	// answered.
+	// vm is the leader; empty: there is none, or it is this VM.
+	vm           coord.VMID
+	lastResponse time.Time
+	waiting      int
+	// probing is set while a probe of vm, sent at probedAt, is unanswered.
 	probing  bool
 	probedAt time.Time
-	// quiet ends when vm has been silent for quietAfter with requests waiting.
-	quiet    context.Context
-	setQuiet context.CancelFunc
+	// unresponsive is canceled when vm has not responded for unresponsiveAfter while requests wait,
+	// and when another VM is watched.
+	unresponsive    context.Context
+	setUnresponsive context.CancelFunc
 }
 
-func newSilence() *silence {
-	s := &silence{}
-	s.renew()
-	return s
+func newLeaderMonitor() *leaderMonitor {
+	m := &leaderMonitor{}
+	m.reset()
+	return m
 }
 
-// renew makes quiet anew. s.mu is held, or s is not shared yet.
-func (s *silence) renew() { s.quiet, s.setQuiet = context.WithCancel(context.Background()) }
+// reset replaces unresponsive by a new context. m.mu is held, or m is not shared yet.
+func (m *leaderMonitor) reset() {
+	m.unresponsive, m.setUnresponsive = context.WithCancel(context.Background())
+}
 
-// watch begins to watch a VM.
-func (s *silence) watch(now time.Time, vm coord.VMID) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.setQuiet()
-	s.renew()
-	s.vm, s.heard, s.probing = vm, now, false
+// watch starts to monitor a VM.
+func (m *leaderMonitor) watch(now time.Time, vm coord.VMID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.setUnresponsive()
+	m.reset()
+	m.vm, m.lastResponse, m.probing = vm, now, false
 }
 
-// from takes a sign of life of a VM.
-func (s *silence) from(now time.Time, vm coord.VMID) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if vm != s.vm {
+// recordResponse records any message of a VM.
+func (m *leaderMonitor) recordResponse(now time.Time, vm coord.VMID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if vm != m.vm {
 		return
 	}
-	s.heard = now
-	if s.quiet.Err() != nil {
-		s.renew()
+	m.lastResponse = now
+	if m.unresponsive.Err() != nil {
+		m.reset()
 	}
 }
 
-// wait counts a request that waits for the VM's verdict, until done is called. The
-// context ends when the VM is quiet.
-func (s *silence) wait(now time.Time) (quiet context.Context, done func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.waiting == 0 && s.quiet.Err() == nil {
-		s.heard = now // silence counts from when something is expected
+// addWaiter counts a request that waits for the leader's decision until done is called. The context
+// is canceled when the leader becomes unresponsive.
+func (m *leaderMonitor) addWaiter(now time.Time) (unresponsive context.Context, done func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.waiting == 0 && m.unresponsive.Err() == nil {
+		m.lastResponse = now // responses are expected from now on
 	}
-	s.waiting++
-	return s.quiet, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.waiting--
+	m.waiting++
+	return m.unresponsive, func() {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.waiting--
 	}
 }
 
-// isQuiet reports whether the VM has been silent for so long that requests do not wait for it.
-func (s *silence) isQuiet() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.quiet.Err() != nil
+// isUnresponsive reports whether the leader has not responded for so long that requests do not wait
+// for it.
+func (m *leaderMonitor) isUnresponsive() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.unresponsive.Err() != nil
 }
 
-// tick notices silence. It returns the VM that is to be asked for a sign of life, or
-// "".
-func (s *silence) tick(now time.Time) (probe coord.VMID) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.vm == "" || s.waiting == 0 && s.quiet.Err() == nil {
+// tick updates unresponsive. It returns the VM to probe, or "".
+func (m *leaderMonitor) tick(now time.Time) (probe coord.VMID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.vm == "" || m.waiting == 0 && m.unresponsive.Err() == nil {
 		return ""
 	}
-	silent := now.Sub(s.heard)
-	if silent >= quietAfter {
-		s.setQuiet()
+	elapsed := now.Sub(m.lastResponse)
+	if elapsed >= unresponsiveAfter {
+		m.setUnresponsive()
 	}
-	if silent < probeAfter || s.probing || now.Sub(s.probedAt) < probeAfter {
+	if elapsed < probeAfter || m.probing || now.Sub(m.probedAt) < probeAfter {
 		return ""
 	}
-	s.probing, s.probedAt = true, now
-	return s.vm
+	m.probing, m.probedAt = true, now
+	return m.vm
 }
 
-// probed takes the end of a question for a sign of life.
-func (s *silence) probed(now time.Time, vm coord.VMID, alive bool) {
-	if alive {
-		s.from(now, vm)
+// probeFinished records the result of a probe.
+func (m *leaderMonitor) probeFinished(now time.Time, vm coord.VMID, responded bool) {
+	if responded {
+		m.recordResponse(now, vm)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if vm == s.vm {
-		s.probing = false
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if vm == m.vm {
+		m.probing = false
 	}
 }
 
-// watchActing asks the acting VM for a sign of life if it owes one.
-func (n *Node) watchActing() {
-	vm := n.silence.tick(n.now())
+// probeLeader probes the leader if a probe is due.
+func (n *Node) probeLeader() {
+	vm := n.leaderMonitor.tick(n.now())
 	if vm == "" {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		_, err := n.mesh.Call(ctx, vm, &schema.Call{Body: &schema.Call_Heartbeat{
 			Heartbeat: &schema.Heartbeat{Vm: n.settings.Vm.Id},
@@ -137,6 +139,6 @@
 		if err != nil {
 			n.log.PeerCallFailed("probe", string(vm), err)
 		}
-		n.silence.probed(n.now(), vm, err == nil)
+		n.leaderMonitor.probeFinished(n.now(), vm, err == nil)
 	}()
 }
--- a/internal/edge/silence_test.go
+++ b/internal/edge/silence_test.go
@@ -9,100 +9,102 @@
 	"github.com/junctionfold/junctionfold/coord"
 )
 
-// step is one event of a VM that watches "b", at a time in ms.
+// step is one event of a VM that monitors the leader "b", at a time in ms.
 type step struct {
 	at    int
 	event string
-	// probe is the VM to ask after a tick.
+	// probe is the VM to probe after a tick.
 	probe coord.VMID
-	// quiet is whether requests still wait for b afterwards.
-	quiet bool
+	// unresponsive is whether b counts as unresponsive afterwards, so that requests no longer wait
+	// for it.
+	unresponsive bool
 }
 
-func TestSilence(t *testing.T) {
+func TestLeaderMonitor(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		steps []step
 	}{
-		{"nothing is expected", []step{{at: 5000, event: "tick"}}},
+		{"no response is expected", []step{{at: 5000, event: "tick"}}},
 		{"b answers", []step{
 			{at: 1000, event: "ask"}, {at: 1100, event: "heard"}, {at: 1200, event: "tick"},
 		}},
-		{"silence counts from the first request that waits", []step{
+		{"the time without a response counts from the first waiting request", []step{
 			{at: 5000, event: "ask"}, {at: 5100, event: "tick"}, {at: 5149, event: "tick"},
 		}},
-		{"b is silent and is asked once", []step{
+		{"b is unresponsive and is probed once", []step{
 			{at: 1000, event: "ask"}, {at: 1150, event: "tick", probe: "b"}, {at: 1200, event: "tick"},
-			{at: 1299, event: "tick"}, {at: 1300, event: "tick", quiet: true},
+			{at: 1299, event: "tick"}, {at: 1300, event: "tick", unresponsive: true},
 		}},
-		{"b gives a sign of life", []step{
+		{"b answers the probe", []step{
 			{at: 1000, event: "ask"}, {at: 1150, event: "tick", probe: "b"}, {at: 1160, event: "alive"},
 			{at: 1300, event: "tick"}, {at: 1310, event: "tick", probe: "b"},
 		}},
-		{"b cannot be reached and is not asked all the time", []step{
+		{"b is unreachable and probes are spaced", []step{
 			{at: 1000, event: "ask"}, {at: 1150, event: "tick", probe: "b"}, {at: 1151, event: "dead"},
-			{at: 1170, event: "tick"}, {at: 1300, event: "tick", probe: "b", quiet: true},
+			{at: 1170, event: "tick"}, {at: 1300, event: "tick", probe: "b", unresponsive: true},
 		}},
-		{"b comes back", []step{
-			{at: 1000, event: "ask"}, {at: 1400, event: "tick", probe: "b", quiet: true}, {at: 1500, event: "heard"},
+		{"b is responsive again", []step{
+			{at: 1000, event: "ask"}, {at: 1400, event: "tick", probe: "b", unresponsive: true}, {at: 1500, event: "heard"},
 		}},
-		{"another VM is heard", []step{
-			{at: 1000, event: "ask"}, {at: 1290, event: "heard other"}, {at: 1300, event: "tick", probe: "b", quiet: true},
+		{"another VM responds", []step{
+			{at: 1000, event: "ask"}, {at: 1290, event: "heard other"}, {at: 1300, event: "tick", probe: "b", unresponsive: true},
 		}},
-		{"another VM schedules", []step{
-			{at: 1000, event: "ask"}, {at: 1400, event: "tick", probe: "b", quiet: true}, {at: 1401, event: "moved"},
+		{"another VM becomes the leader", []step{
+			{at: 1000, event: "ask"}, {at: 1400, event: "tick", probe: "b", unresponsive: true}, {at: 1401, event: "moved"},
 			{at: 1500, event: "tick"},
 		}},
-		{"this VM schedules", []step{
+		{"this VM becomes the leader", []step{
 			{at: 1000, event: "ask"}, {at: 1100, event: "moved here"}, {at: 5000, event: "tick"},
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			s := newSilence()
-			s.watch(time.UnixMilli(0), "b")
+			m := newLeaderMonitor()
+			m.watch(time.UnixMilli(0), "b")
 			for _, st := range row.steps {
-				s.play(t, st)
-				assert.Equal(t, s.quiet.Err() != nil, st.quiet, "at %d after %q", st.at, st.event)
+				m.apply(t, st)
+				assert.Equal(t, m.unresponsive.Err() != nil, st.unresponsive, "at %d after %q", st.at, st.event)
 			}
 		})
 	}
 }
 
-func (s *silence) play(t *testing.T, st step) {
+func (m *leaderMonitor) apply(t *testing.T, st step) {
 	t.Helper()
 	now := time.UnixMilli(int64(st.at))
 	switch st.event {
 	case "ask":
-		s.wait(now)
+		m.addWaiter(now)
 	case "heard":
-		s.from(now, "b")
+		m.recordResponse(now, "b")
 	case "heard other":
-		s.from(now, "c")
+		m.recordResponse(now, "c")
 	case "alive":
-		s.probed(now, "b", true)
+		m.probeFinished(now, "b", true)
 	case "dead":
-		s.probed(now, "b", false)
+		m.probeFinished(now, "b", false)
 	case "moved":
-		s.watch(now, "c")
+		m.watch(now, "c")
 	case "moved here":
-		s.watch(now, "")
+		m.watch(now, "")
 	case "tick":
-		assert.Equal(t, s.tick(now), st.probe, "at %d", st.at)
+		assert.Equal(t, m.tick(now), st.probe, "at %d", st.at)
 	default:
 		t.Fatalf("no event %q", st.event)
 	}
 }
 
-// TestOutage: a scheduler that leaves hands its waiting requests back after seconds; the
-// VMs that brought them may hear of the next one only then.
-func TestOutage(t *testing.T) {
+// TestLeaderOutage checks that only time without a response counts as an outage. A leader that
+// steps down returns its waiting requests after seconds, and the VMs that sent them may learn of
+// its successor only then.
+func TestLeaderOutage(t *testing.T) {
 	at := func(ms int64) time.Time { return time.UnixMilli(ms) }
-	var o outage
-	o.note(at(2600), "a") // after 2.6 s of waiting for a load
-	assert.Assert(t, !o.over(at(2630), "a", time.Second))
-	o.note(at(2640), "a")
-	assert.Assert(t, o.over(at(3601), "a", time.Second))
-	assert.Assert(t, !o.over(at(3601), "b", time.Second), "another VM acts now and is asked first")
-	o.note(at(3610), "b")
-	assert.Assert(t, !o.over(at(3640), "b", time.Second))
+	var o leaderOutage
+	o.recordFailure(at(2600), "a") // after 2.6 s of waiting for a load
+	assert.Assert(t, !o.exceeds(at(2630), "a", time.Second))
+	o.recordFailure(at(2640), "a")
+	assert.Assert(t, o.exceeds(at(3601), "a", time.Second))
+	assert.Assert(t, !o.exceeds(at(3601), "b", time.Second), "another VM leads now and is queried first")
+	o.recordFailure(at(3610), "b")
+	assert.Assert(t, !o.exceeds(at(3640), "b", time.Second))
 }
--- a/internal/edge/teams.go
+++ b/internal/edge/teams.go
@@ -7,23 +7,23 @@
 	"github.com/junctionfold/junctionfold/internal/fleet"
 )
 
-// logTeams writes the audit trail of teams: those that came, went or changed.
+// logTeams writes the audit trail of teams that were added, removed or changed.
 func (n *Node) logTeams(old, c *fleet.Config) {
-	before := teamsByName(old)
+	oldTeams := teamsByName(old)
 	for name, t := range teamsByName(c) {
-		was := before[name]
-		delete(before, name)
-		if was == nil {
-			was = &fleet.Team{}
+		oldTeam := oldTeams[name]
+		delete(oldTeams, name)
+		if oldTeam == nil {
+			oldTeam = &fleet.Team{}
 		}
-		added, removed := keysBeyond(t, was), keysBeyond(was, t)
-		if len(added)+len(removed) == 0 && was.Quota == t.Quota && was.Priority == t.Priority {
+		added, removed := keysMissingFrom(t, oldTeam), keysMissingFrom(oldTeam, t)
+		if len(added)+len(removed) == 0 && oldTeam.Quota == t.Quota && oldTeam.Priority == t.Priority {
 			continue
 		}
 		n.log.TeamChanged(c.Version, name, t.Priority, len(t.Keys), added, removed, t.Quota.PerSecond, t.Quota.Burst)
 	}
-	for name, gone := range before {
-		n.log.TeamChanged(c.Version, name, gone.Priority, 0, nil, keysBeyond(gone, &fleet.Team{}), 0, 0)
+	for name, oldTeam := range oldTeams {
+		n.log.TeamChanged(c.Version, name, oldTeam.Priority, 0, nil, keysMissingFrom(oldTeam, &fleet.Team{}), 0, 0)
 	}
 }
 
@@ -38,8 +38,8 @@
 	return out
 }
 
-// keysBeyond lists the keys of one team that another one lacks.
-func keysBeyond(t, other *fleet.Team) []string {
+// keysMissingFrom returns the keys of t that other lacks, as hexadecimal prefixes for logs.
+func keysMissingFrom(t, other *fleet.Team) []string {
 	var out []string
 	for _, key := range t.Keys {
 		if !slices.Contains(other.Keys, key) {
--- a/internal/edge/tickets_test.go
+++ b/internal/edge/tickets_test.go
@@ -8,9 +8,11 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// TestTicketsOfARestartAfterTheTimeOfDayFellBack are taken by others for those of the process before.
-func TestTicketsOfARestartAfterTheTimeOfDayFellBack(t *testing.T) {
-	n, _ := aloneNode(t)
+// TestTicketsExceedIncarnationAfterClockStepBack guards against tickets below the incarnation that
+// other VMs remember, after a restart with a clock that stepped back: other VMs attribute such
+// tickets to the previous process.
+func TestTicketsExceedIncarnationAfterClockStepBack(t *testing.T) {
+	n, _ := disconnectedNode(t)
 	n.tickets.Store(1000)
 	n.mergeRoster(&schema.Roster{Entries: []*schema.RosterEntry{{Vm: "a", Incarnation: 5000, Beat: 7}}})
 	ticket := n.tickets.Add(1)
--- a/internal/edge/update.go
+++ b/internal/edge/update.go
@@ -12,45 +12,44 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Updates of the store's copy are compressed where they are long. A configuration with
-// 1,700 routes has 400 KB, which a reader sends to every VM of the fleet: at 90 VMs and
-// 10 Mbit/s that would hold up for half a minute what comes after it, the word of leaving
-// targets as well.
+// Long updates of the store copy are compressed. A configuration with 1,700 routes has 400 KB,
+// which a store watcher sends to every VM of the fleet. Uncompressed, with 90 VMs and 10 Mbit/s, it
+// would delay all following messages for half a minute, notices of leaving targets included.
 const (
-	// packAbove is the size of an update that is worth it, in bytes: about one packet.
-	packAbove = 1400
-	// maxUnpacked bounds what one update may grow to, in bytes: many times the
-	// largest copy of the store that is known.
-	maxUnpacked = 64 << 20
+	// compressThreshold is the size in bytes from which updates are compressed: about one packet.
+	compressThreshold = 1400
+	// maxDecompressedBytes bounds the decompressed size of one update: many times the largest known
+	// store copy.
+	maxDecompressedBytes = 64 << 20
 )
 
-// packer and unpacker are safe for concurrent use. Their options are constants, so that
-// making them cannot fail.
+// compressor and decompressor are safe for concurrent use. Their options are constants, so creating
+// them cannot fail.
 var (
-	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
-	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUnpacked))
+	compressor, _   = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
+	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 )
 
 func updateToProto(u feed.Update) *schema.FeedUpdate {
-	out := &schema.FeedUpdate{From: uint64(u.From), To: uint64(u.To), Snapshot: u.Snapshot, AgeMs: u.Age.Milliseconds(), Reads: u.ReadCount, ProvenMs: provenMs(u.ConfirmedAge)}
+	out := &schema.FeedUpdate{From: uint64(u.From), To: uint64(u.To), Snapshot: u.Snapshot, AgeMs: u.Age.Milliseconds(), Reads: u.ReadCount, ProvenMs: confirmedAgeMs(u.ConfirmedAge)}
 	for _, i := range u.Items {
 		out.Items = append(out.Items, &schema.StoreItem{
 			Key: i.Key, Value: i.Value, Revision: uint64(i.Revision), Deleted: i.Deleted,
 		})
 	}
-	if proto.Size(out) < packAbove {
+	if proto.Size(out) < compressThreshold {
 		return out
 	}
-	plain, err := proto.Marshal(&schema.StoreItems{Items: out.Items})
+	uncompressed, err := proto.Marshal(&schema.StoreItems{Items: out.Items})
 	if err != nil {
-		return out // sent as it is
+		return out // sent uncompressed
 	}
-	out.Items, out.Packed = nil, packer.EncodeAll(plain, nil)
+	out.Items, out.Packed = nil, compressor.EncodeAll(uncompressed, nil)
 	return out
 }
 
-// provenMs rounds a bound on an age up.
-func provenMs(d time.Duration) int64 {
+// confirmedAgeMs converts a bound on an age to milliseconds, rounded up; -1 if it is unknown.
+func confirmedAgeMs(d time.Duration) int64 {
 	if d < 0 {
 		return -1
 	}
@@ -64,12 +63,12 @@
 	}
 	items := u.Items
 	if len(u.Packed) > 0 {
-		plain, err := unpacker.DecodeAll(u.Packed, nil)
+		uncompressed, err := decompressor.DecodeAll(u.Packed, nil)
 		if err != nil {
 			return out, errors.Wrap(err, "unpack update")
 		}
 		var unpacked schema.StoreItems
-		if err := proto.Unmarshal(plain, &unpacked); err != nil {
+		if err := proto.Unmarshal(uncompressed, &unpacked); err != nil {
 			return out, errors.Wrap(err, "decode update")
 		}
 		items = unpacked.Items
--- a/internal/edge/update_test.go
+++ b/internal/edge/update_test.go
@@ -14,8 +14,8 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// routes is as long as a configuration with so many routes.
-func routes(n int) []byte {
+// configWithRoutes returns data as long as a configuration with n routes.
+func configWithRoutes(n int) []byte {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, `{"id":"r-%d","from":"h%d.example","path":"/p%x/","type":"may run again","timeout":800,`+
@@ -24,14 +24,14 @@
 	return []byte(b.String())
 }
 
-func TestUpdateOverTheWire(t *testing.T) {
+func TestUpdateRoundTrip(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		value  []byte
 		packed bool
 	}{
 		{"a leaving target", []byte(`{"state":"leaving"}`), false},
-		{"a large configuration", routes(1700), true},
+		{"a large configuration", configWithRoutes(1700), true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			u := feed.Update{From: 4, To: 9, Snapshot: true, Age: 30 * time.Millisecond, Items: []fleet.Item{
@@ -47,8 +47,8 @@
 	}
 }
 
-func TestDamagedUpdateIsRefused(t *testing.T) {
-	message := updateToProto(feed.Update{To: 9, Items: []fleet.Item{{Key: "a", Value: routes(100), Revision: 7}}})
+func TestCorruptUpdateIsRejected(t *testing.T) {
+	message := updateToProto(feed.Update{To: 9, Items: []fleet.Item{{Key: "a", Value: configWithRoutes(100), Revision: 7}}})
 	for _, damaged := range [][]byte{message.Packed[:len(message.Packed)/2], []byte("no zstd")} {
 		_, err := updateFromProto(&schema.FeedUpdate{To: 9, Packed: damaged})
 		assert.ErrorContains(t, err, "unpack update")
--- a/internal/edge/verdicts.go
+++ b/internal/edge/verdicts.go
@@ -10,21 +10,21 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// waiters are the requests that wait for verdicts of one service.
+// waiters holds the requests of one service that wait for decisions.
 type waiters map[coord.RequestKey]chan *schema.Verdict
 
-// add lets a request wait.
+// add registers a waiting request and returns the channel that receives its decision.
 func (w waiters) add(key coord.RequestKey) <-chan *schema.Verdict {
-	verdict := make(chan *schema.Verdict, 1)
-	w[key] = verdict
-	return verdict
+	decision := make(chan *schema.Verdict, 1)
+	w[key] = decision
+	return decision
 }
 
-// answer gives a request its verdict, with the target's address and limit. It reports whether the request
-// was waiting.
-func (w waiters) answer(key coord.RequestKey, targets map[string]*fleet.Target, limit ratelimit.Limit, v *schema.Verdict) bool {
-	verdict := w[key]
-	if verdict == nil {
+// deliver sends a request its decision, with the target's address and rate limit added. It reports
+// whether the request was waiting.
+func (w waiters) deliver(key coord.RequestKey, targets map[string]*fleet.Target, limit ratelimit.Limit, v *schema.Verdict) bool {
+	decision := w[key]
+	if decision == nil {
 		return false
 	}
 	delete(w, key)
@@ -32,26 +32,26 @@
 		v.Address = t.Address
 	}
 	v.LimitPerSecond, v.LimitStamp = limit.PerSecond, limit.Stamp
-	verdict <- v
+	decision <- v
 	return true
 }
 
-// awaitVerdict waits for the verdict on a request of the given time. When the context ends
-// first, the request is withdrawn.
-func (n *Node) awaitVerdict(ctx context.Context, asked time.Time, verdict <-chan *schema.Verdict, withdraw func()) *schema.Verdict {
+// awaitDecision waits for the decision on a request submitted at requestedAt. If the context ends
+// first, it withdraws the request and returns a refusal.
+func (n *Node) awaitDecision(ctx context.Context, requestedAt time.Time, decision <-chan *schema.Verdict, withdraw func()) *schema.Verdict {
 	select {
-	case v := <-verdict:
-		v.WaitedMs = n.now().Sub(asked).Milliseconds()
+	case v := <-decision:
+		v.WaitedMs = n.now().Sub(requestedAt).Milliseconds()
 		return v
 	case <-ctx.Done():
 		withdraw()
-		return refusal("verdict_timeout", unknownPause)
+		return refusalMessage("verdict_timeout", noDecisionRetryDelay)
 	}
 }
 
-// unknownPause is when to come back if no verdict could be had.
-const unknownPause = 300 * time.Millisecond
+// noDecisionRetryDelay is the retry delay of callers when no decision could be obtained.
+const noDecisionRetryDelay = 300 * time.Millisecond
 
-func refusal(reason string, retry time.Duration) *schema.Verdict {
-	return &schema.Verdict{Reason: reason, RetryAfterMs: retry.Milliseconds()}
+func refusalMessage(reason string, retryAfter time.Duration) *schema.Verdict {
+	return &schema.Verdict{Reason: reason, RetryAfterMs: retryAfter.Milliseconds()}
 }
--- a/internal/edge/wake.go
+++ b/internal/edge/wake.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// suspensionLogged is the least suspension that is worth a line: a heartbeat.
-const suspensionLogged = heartbeat
+// minLoggedSuspension is the shortest suspension that is logged: one heartbeat interval.
+const minLoggedSuspension = heartbeatInterval
 
-// wake looks whether this VM was suspended. From then on all ages, leases and rests count the time in
-// suspension. It is called before each decision that one of these guards: what a request of a caller
-// may rest on, a verdict, a send and an order; and with each tick, for all others.
-func (n *Node) wake() {
-	if suspended := n.clock.Refresh(); suspended >= suspensionLogged {
+// checkSuspension checks whether this VM was suspended and adds the time to the node's clock, so
+// that all ages, leases and backoffs include it. It is called with each tick, and before each
+// decision that depends on one of them: the check of a caller's request, a decision on a request, a
+// send to a target and an order.
+func (n *Node) checkSuspension() {
+	if suspended := n.clock.Refresh(); suspended >= minLoggedSuspension {
 		n.log.Suspended(suspended)
 	}
 }
 
-// until is the time until at.
+// until returns the time from now until at.
 func (n *Node) until(at time.Time) time.Duration { return at.Sub(n.now()) }
