--- /dev/null
+++ b/internal/edge/quarantine.go
@@ -0,0 +1,194 @@
+package edge
+
+import (
+	"encoding/hex"
+	"math"
+	"sync"
+	"time"
+
+	"github.com/junctionfold/junctionfold/coord"
+	"github.com/junctionfold/junctionfold/coord/quarantine"
+	"github.com/junctionfold/junctionfold/schema"
+)
+
+// contentQuarantine keeps requests whose content crashes targets away from further targets. The
+// leader judges by the requests that run in the whole fleet; the other VMs hold the findings that
+// the leader sent. Lock order: no other lock is acquired while contentQuarantine.mu is held.
+type contentQuarantine struct {
+	node *Node
+
+	mu    sync.Mutex
+	table *quarantine.Table
+	// refused counts the requests that this VM refused because of their content.
+	refused int64
+}
+
+func newContentQuarantine(n *Node) *contentQuarantine {
+	return &contentQuarantine{node: n, table: quarantine.New()}
+}
+
+func digestOf(b []byte) (d quarantine.Digest) {
+	copy(d[:], b)
+	return d
+}
+
+// check returns a refusal if a request's content is blocked, or if it is suspect and another
+// request with it is in flight. For suspect content it excludes the targets where other suspects
+// run.
+func (q *contentQuarantine) check(from coord.VMID, a *schema.Admit) *schema.Verdict {
+	d := digestOf(a.Content)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	reason, retry := q.table.Check(q.node.now(), quarantine.Key{VM: from, Ticket: a.Ticket}, d)
+	if reason != "" {
+		q.refused++
+		return refusalMessage(reason, retry)
+	}
+	a.Exclude = append(a.Exclude, q.table.TargetsToAvoid(d)...)
+	return nil
+}
+
+// checkWithoutLeader is check for a VM that gets no decisions from the leader.
+func (q *contentQuarantine) checkWithoutLeader(content quarantine.Digest) (reason string, retry time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if reason, retry = q.table.CheckWithoutLeader(q.node.now(), content); reason != "" {
+		q.refused++
+	}
+	return reason, retry
+}
+
+// requestStarted records that a request is sent to a target, and the time left until its deadline.
+func (q *contentQuarantine) requestStarted(from coord.VMID, ticket uint64, content []byte, target string, timeLeft time.Duration) {
+	now := q.node.now()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.table.RequestStarted(now, quarantine.Key{VM: from, Ticket: ticket}, digestOf(content), target, now.Add(timeLeft))
+}
+
+// requestEnded records the end of a request.
+func (q *contentQuarantine) requestEnded(from coord.VMID, ticket uint64, ending schema.Ending) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.table.RequestEnded(q.node.now(), quarantine.Key{VM: from, Ticket: ticket},
+		ending == schema.Ending_ENDING_OK, ending == schema.Ending_ENDING_BROKE)
+}
+
+func (q *contentQuarantine) forgetVM(vm coord.VMID, beforeTicket uint64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.table.ForgetVM(vm, beforeTicket)
+}
+
+// maxFindingsPerMessage bounds the findings in one message. Each takes about 40 bytes.
+const maxFindingsPerMessage = 512
+
+// tick evaluates requests whose connections broke. It sends new findings to the VMs that may lead
+// next, and blocked contents to all VMs.
+func (q *contentQuarantine) tick() {
+	q.mu.Lock()
+	found := q.table.Tick(q.node.now())
+	q.mu.Unlock()
+	if len(found) == 0 {
+		return
+	}
+	for _, f := range found {
+		q.node.log.ContentSuspected(hex.EncodeToString(f.Digest[:]), f.Targets, f.BlockedFor)
+	}
+	all, blocked := suspectsToProto(found)
+	q.node.sendSuspects(all, blocked)
+}
+
+// suspectsToProto returns a message with all findings, up to maxFindingsPerMessage, and one with
+// the blocked contents.
+func suspectsToProto(found []quarantine.Finding) (all, blocked *schema.Suspects) {
+	all, blocked = &schema.Suspects{}, &schema.Suspects{}
+	for _, f := range found {
+		s := &schema.Suspect{Content: f.Digest[:], Targets: f.Targets, HeldMs: f.BlockedFor.Milliseconds()}
+		if len(all.Suspects) < maxFindingsPerMessage {
+			all.Suspects = append(all.Suspects, s)
+		}
+		if f.BlockedFor > 0 {
+			blocked.Suspects = append(blocked.Suspects, s)
+		}
+	}
+	return all, blocked
+}
+
+// sendFindingsTo sends the known findings to a VM that has just started or is responsive again. It
+// may become the leader and has lost or missed the findings: in one run, a leader that was killed
+// became the leader again 2 s later and let three more engines crash under blocked content.
+func (q *contentQuarantine) sendFindingsTo(vm coord.VMID) {
+	q.mu.Lock()
+	found := q.table.Findings(q.node.now())
+	q.mu.Unlock()
+	if all, _ := suspectsToProto(found); len(all.Suspects) > 0 {
+		go q.node.notify(vm, &schema.Call{Body: &schema.Call_Suspects{Suspects: all}})
+	}
+}
+
+// mergeFindings applies findings that the leader sent.
+func (q *contentQuarantine) mergeFindings(m *schema.Suspects) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, s := range m.Suspects {
+		blockedFor := time.Duration(min(s.HeldMs, math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
+		q.table.Merge(q.node.now(), quarantine.Finding{Digest: digestOf(s.Content), Targets: s.Targets, BlockedFor: blockedFor})
+	}
+}
+
+// stats returns the number of suspect contents, of blocked contents and of refused requests.
+func (q *contentQuarantine) stats() (suspect, blocked, refused int64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, f := range q.table.Findings(q.node.now()) {
+		if f.BlockedFor > 0 {
+			blocked++
+		} else {
+			suspect++
+		}
+	}
+	return suspect, blocked, q.refused
+}
+
+// BlockedContent describes a blocked content for operators.
+type BlockedContent struct {
+	Targets []string
+	SinceMs int64
+	LeftMs  int64
+}
+
+// blocked returns the blocked contents by digest in hexadecimal.
+func (q *contentQuarantine) blocked() map[string]BlockedContent {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	out := map[string]BlockedContent{}
+	for _, f := range q.table.Findings(q.node.now()) {
+		if f.BlockedFor > 0 {
+			out[hex.EncodeToString(f.Digest[:])] = BlockedContent{
+				Targets: f.Targets, SinceMs: q.node.now().Sub(f.Since).Milliseconds(), LeftMs: f.BlockedFor.Milliseconds(),
+			}
+		}
+	}
+	return out
+}
+
+// sendSuspects sends all findings to the VMs that may lead next, and the blocked contents to the
+// others.
+func (n *Node) sendSuspects(all, blocked *schema.Suspects) {
+	n.mu.Lock()
+	candidates := map[coord.VMID]bool{}
+	for _, e := range n.roster.LeaderCandidates() {
+		candidates[e.ID] = true
+	}
+	n.mu.Unlock()
+	for _, vm := range n.livePeers() {
+		m := blocked
+		if candidates[vm] {
+			m = all
+		}
+		if len(m.Suspects) > 0 {
+			go n.notify(vm, &schema.Call{Body: &schema.Call_Suspects{Suspects: m}})
+		}
+	}
+}
