--- a/coord/outcome/model_test.go
+++ b/coord/outcome/model_test.go
@@ -15,194 +15,194 @@
 	"github.com/junctionfold/junctionfold/coord/outcome"
 )
 
-// world is a few VMs that hold records and serve callers, over a network that
-// delays, loses and reorders. The list of VMs changes and reaches VMs late.
-type world struct {
-	rng    *rand.Rand
-	now    time.Time
-	broken rule
-	vms    []*holder
-	lists  [][]int
-	net    []func(arrives bool)
-	ran    map[string]int
-	runs   int
+// simulation is a fleet of VMs that hold records and serve callers over a network that delays,
+// loses and reorders messages. The list of VMs changes, and VMs receive changes late.
+type simulation struct {
+	rng       *rand.Rand
+	now       time.Time
+	broken    brokenRule
+	vms       []*simulatedVM
+	lists     [][]int
+	messages  []func(delivered bool)
+	runCounts map[string]int
+	attempts  int
 }
 
-// rule is a rule that a test breaks on purpose.
-type rule string
+// brokenRule is a rule of the protocol that a test breaks on purpose.
+type brokenRule string
 
 const (
-	noRule      rule = ""
-	noCertainty rule = "a holder that may have missed records counts"
-	oneHolder   rule = "one holder is enough"
-	oldList     rule = "a holder serves requests made under an older list"
-	notWhole    rule = "the answers of VMs that lost their records count"
-	askEarly    rule = "a fresh VM asks for records at once"
-	finishAll   rule = "an unknown outcome is taken for not run"
+	noBrokenRule          brokenRule = ""
+	countNonAuthoritative brokenRule = "a holder that may have missed records counts"
+	acceptOneVote         brokenRule = "one holder is enough"
+	acceptOldList         brokenRule = "a holder serves requests made under an older list"
+	countIncomplete       brokenRule = "responses of VMs that lost their records count"
+	requestRecordsEarly   brokenRule = "a restarted VM requests records at once"
+	finishUnknownAsNotRun brokenRule = "an unknown outcome counts as not run"
 )
 
-type holder struct {
-	id      coord.VMID
-	hall    string
-	life    int
-	list    int
-	table   *outcome.Table
-	history *outcome.History
-	asked   map[int]bool
+type simulatedVM struct {
+	id          coord.VMID
+	zone        string
+	incarnation int
+	listVersion int
+	table       *outcome.Table
+	history     *outcome.History
+	recordsFrom map[int]bool
 }
 
 const (
 	fleetSize = 6
-	listed    = 5
+	listedVMs = 5
 	retention = time.Hour
 )
 
 var keys = []string{"k1", "k2", "k3"}
 
-func newWorld(seed uint64, broken rule) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(5000, 0), broken: broken, ran: map[string]int{}}
+func newSimulation(seed uint64, broken brokenRule) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(5000, 0), broken: broken, runCounts: map[string]int{}}
 	for i := range fleetSize {
-		w.vms = append(w.vms, &holder{id: coord.VMID(fmt.Sprintf("vm-%d", i)), hall: fmt.Sprintf("hall-%d", i%3)})
+		s.vms = append(s.vms, &simulatedVM{id: coord.VMID(fmt.Sprintf("vm-%d", i)), zone: fmt.Sprintf("hall-%d", i%3)})
 	}
-	w.lists = [][]int{{0, 1, 2, 3, 4}}
-	for i := range w.vms {
-		w.boot(i)
+	s.lists = [][]int{{0, 1, 2, 3, 4}}
+	for i := range s.vms {
+		s.boot(i)
 	}
-	for range 20 { // the fleet has been up for a while when a schedule begins
-		w.now = w.now.Add(100 * time.Millisecond)
-		w.tickAll()
-		w.deliverAll()
+	for range 20 { // schedules begin with a fleet that has been running for a while
+		s.now = s.now.Add(100 * time.Millisecond)
+		s.requestRecordsEverywhere()
+		s.deliverAll()
 	}
-	return w
+	return s
 }
 
-func (w *world) boot(i int) {
-	v := w.vms[i]
-	v.life++
-	v.list = -1
+func (s *simulation) boot(i int) {
+	v := s.vms[i]
+	v.incarnation++
+	v.listVersion = -1
 	v.table = outcome.NewTable(outcome.Config{Retention: retention, MaxBytes: 1 << 20})
-	v.history = outcome.NewHistory(v.id, retention, w.now)
-	w.adopt(i, len(w.lists)-1)
+	v.history = outcome.NewHistory(v.id, retention, s.now)
+	s.applyList(i, len(s.lists)-1)
 }
 
-// adopt brings a list to a VM.
-func (w *world) adopt(i, version int) {
-	v := w.vms[i]
-	if version <= v.list {
+// applyList applies a version of the list at a VM.
+func (s *simulation) applyList(i, version int) {
+	v := s.vms[i]
+	if version <= v.listVersion {
 		return
 	}
-	v.list = version
-	v.asked = map[int]bool{}
+	v.listVersion = version
+	v.recordsFrom = map[int]bool{}
 	var members []*membership.Member
-	for _, j := range w.lists[version] {
-		members = append(members, &membership.Member{ListedVM: membership.ListedVM{ID: w.vms[j].id, Zone: w.vms[j].hall}})
+	for _, j := range s.lists[version] {
+		members = append(members, &membership.Member{ListedVM: membership.ListedVM{ID: s.vms[j].id, Zone: s.vms[j].zone}})
 	}
-	v.history.Changed(w.now, outcome.NewHolderSet(members))
+	v.history.Changed(s.now, outcome.NewHolderSet(members))
 }
 
-func (w *world) send(f func(arrives bool)) { w.net = append(w.net, f) }
+func (s *simulation) send(deliver func(delivered bool)) { s.messages = append(s.messages, deliver) }
 
-func (w *world) deliverAll() {
-	for len(w.net) > 0 {
-		f := w.net[0]
-		w.net = w.net[1:]
-		f(true)
+func (s *simulation) deliverAll() {
+	for len(s.messages) > 0 {
+		deliver := s.messages[0]
+		s.messages = s.messages[1:]
+		deliver(true)
 	}
 }
 
-// sync asks the other listed VMs for records.
-func (w *world) sync(i int) {
-	v, life, version := w.vms[i], w.vms[i].life, w.vms[i].list
-	if !v.history.MayRequestRecords(w.now) && w.broken != askEarly {
+// requestRecords requests records from the other listed VMs.
+func (s *simulation) requestRecords(i int) {
+	v, incarnation, version := s.vms[i], s.vms[i].incarnation, s.vms[i].listVersion
+	if !v.history.MayRequestRecords(s.now) && s.broken != requestRecordsEarly {
 		return
 	}
-	for _, j := range w.lists[version] {
-		if j == i || v.asked[j] {
+	for _, j := range s.lists[version] {
+		if j == i || v.recordsFrom[j] {
 			continue
 		}
-		w.send(func(arrives bool) {
-			if !arrives {
+		s.send(func(delivered bool) {
+			if !delivered {
 				return
 			}
-			w.adopt(j, version)
-			other := w.vms[j]
-			if other.list != version {
+			s.applyList(j, version)
+			other := s.vms[j]
+			if other.listVersion != version {
 				return
 			}
-			giver := outcome.RecoverySource{
-				Incarnation: uint64(other.life), Complete: other.history.Complete(w.now) || w.broken == notWhole,
-				ConfirmsFreshStart: other.history.ConfirmsFreshStart(v.id, uint64(life)),
+			source := outcome.RecoverySource{
+				Incarnation: uint64(other.incarnation), Complete: other.history.Complete(s.now) || s.broken == countIncomplete,
+				ConfirmsFreshStart: other.history.ConfirmsFreshStart(v.id, uint64(incarnation)),
 			}
 			var records []outcome.Record
 			other.table.Each(func(r *outcome.Record) { records = append(records, *r) })
 			slices.SortFunc(records, func(a, b outcome.Record) int { return cmp.Compare(a.Key+a.Run, b.Key+b.Run) })
-			w.send(func(arrives bool) {
-				if arrives && v.life == life {
-					w.takeSync(i, j, version, giver, records)
+			s.send(func(delivered bool) {
+				if delivered && v.incarnation == incarnation {
+					s.applyRecords(i, j, version, source, records)
 				}
 			})
 		})
 	}
 }
 
-func (w *world) takeSync(i, j, version int, giver outcome.RecoverySource, records []outcome.Record) {
-	v := w.vms[i]
+func (s *simulation) applyRecords(i, j, version int, source outcome.RecoverySource, records []outcome.Record) {
+	v := s.vms[i]
 	for _, r := range records {
-		v.table.Merge(w.now, r)
+		v.table.Merge(s.now, r)
 	}
-	if v.list != version {
+	if v.listVersion != version {
 		return
 	}
-	v.asked[j] = true
-	v.history.RecordResponse(w.vms[j].id, giver)
-	if len(v.asked) == len(w.lists[version])-1 {
+	v.recordsFrom[j] = true
+	v.history.RecordResponse(s.vms[j].id, source)
+	if len(v.recordsFrom) == len(s.lists[version])-1 {
 		v.history.CompleteRecovery()
 	}
 }
 
-func (w *world) tickAll() {
-	for i := range w.vms {
-		w.sync(i)
+func (s *simulation) requestRecordsEverywhere() {
+	for i := range s.vms {
+		s.requestRecords(i)
 	}
 }
 
-// try is one try of a keyed request at a VM.
-func (w *world) try(i int, key string) {
-	v, life, version := w.vms[i], w.vms[i].life, w.vms[i].list
-	w.runs++
-	run := fmt.Sprintf("%s/%d", v.id, w.runs)
-	set := v.history.Current().Holders(key)
-	q := outcome.NewQuorum(w.now, len(set))
-	left := len(set)
-	vote := func(take func()) {
-		if v.life != life {
+// attempt runs one attempt of a keyed request at a VM.
+func (s *simulation) attempt(i int, key string) {
+	v, incarnation, version := s.vms[i], s.vms[i].incarnation, s.vms[i].listVersion
+	s.attempts++
+	run := fmt.Sprintf("%s/%d", v.id, s.attempts)
+	holders := v.history.Current().Holders(key)
+	q := outcome.NewQuorum(s.now, len(holders))
+	remaining := len(holders)
+	countVote := func(record func()) {
+		if v.incarnation != incarnation {
 			return
 		}
-		take()
-		left--
-		if left == 0 {
-			w.decide(i, key, run, set, q)
+		record()
+		remaining--
+		if remaining == 0 {
+			s.decide(i, key, run, holders, q)
 		}
 	}
-	for _, id := range set {
-		j := w.index(id)
-		w.send(func(arrives bool) {
-			if !arrives {
-				vote(func() { q.RecordNoResponse() })
+	for _, id := range holders {
+		j := s.vmIndex(id)
+		s.send(func(delivered bool) {
+			if !delivered {
+				countVote(func() { q.RecordNoResponse() })
 				return
 			}
-			w.adopt(j, version)
-			if w.vms[j].list != version && w.broken != oldList {
-				vote(func() { q.RecordNoResponse() })
+			s.applyList(j, version)
+			if s.vms[j].listVersion != version && s.broken != acceptOldList {
+				countVote(func() { q.RecordNoResponse() })
 				return
 			}
-			verdict, r := w.vms[j].table.Begin(w.now, key, run, nil)
-			certain := w.vms[j].history.Authoritative(w.now, key) || w.broken == noCertainty
-			ballot := outcome.Vote{Result: verdict, Authoritative: certain, Record: r}
-			w.send(func(arrives bool) {
-				vote(func() {
-					if arrives {
-						q.RecordVote(w.now, ballot)
+			result, r := s.vms[j].table.Begin(s.now, key, run, nil)
+			authoritative := s.vms[j].history.Authoritative(s.now, key) || s.broken == countNonAuthoritative
+			vote := outcome.Vote{Result: result, Authoritative: authoritative, Record: r}
+			s.send(func(delivered bool) {
+				countVote(func() {
+					if delivered {
+						q.RecordVote(s.now, vote)
 					} else {
 						q.RecordNoResponse()
 					}
@@ -212,160 +212,163 @@
 	}
 }
 
-func (w *world) index(id coord.VMID) int {
-	for i, v := range w.vms {
+func (s *simulation) vmIndex(id coord.VMID) int {
+	for i, v := range s.vms {
 		if v.id == id {
 			return i
 		}
 	}
-	panic("no such VM")
+	panic("unknown VM ID")
 }
 
-func (w *world) decide(i int, key, run string, set []coord.VMID, q *outcome.Quorum) {
+func (s *simulation) decide(i int, key, run string, holders []coord.VMID, q *outcome.Quorum) {
 	d := q.Decide()
-	if w.broken == oneHolder && d == outcome.RefuseUnknown && q.Prior() == nil {
+	if s.broken == acceptOneVote && d == outcome.RefuseUnknown && q.Prior() == nil {
 		d = outcome.Run
 	}
 	if d != outcome.Run {
-		w.finish(key, run, set, outcome.NotRun)
+		s.finish(key, run, holders, outcome.NotRun)
 		return
 	}
-	life := w.vms[i].life
-	w.send(func(arrives bool) { // the run itself takes a while
-		if w.vms[i].life != life {
-			w.ran[key]++ // its VM died; it may have run all the same
+	incarnation := s.vms[i].incarnation
+	s.send(func(delivered bool) { // the run itself takes time
+		if s.vms[i].incarnation != incarnation {
+			s.runCounts[key]++ // the VM crashed; the run may have happened
 			return
 		}
 		status := outcome.NotRun
-		if arrives || w.broken == finishAll {
-			w.ran[key]++
+		if delivered || s.broken == finishUnknownAsNotRun {
+			s.runCounts[key]++
 		}
-		if arrives {
+		if delivered {
 			status = outcome.Done
 		}
-		w.finish(key, run, set, status)
+		s.finish(key, run, holders, status)
 	})
 }
 
-func (w *world) finish(key, run string, set []coord.VMID, status outcome.Status) {
-	for _, id := range set {
-		j := w.index(id)
-		w.send(func(arrives bool) {
-			if arrives {
-				w.vms[j].table.Finish(w.now, key, run, status, nil)
+func (s *simulation) finish(key, run string, holders []coord.VMID, status outcome.Status) {
+	for _, id := range holders {
+		j := s.vmIndex(id)
+		s.send(func(delivered bool) {
+			if delivered {
+				s.vms[j].table.Finish(s.now, key, run, status, nil)
 			}
 		})
 	}
 }
 
-// change publishes a list in which one VM has taken the place of another.
-func (w *world) change() {
-	next := append([]int(nil), w.lists[len(w.lists)-1]...)
-	out := w.rng.IntN(len(next))
-	for j := range w.vms {
+// changeList publishes a list in which an unlisted VM replaces a listed one.
+func (s *simulation) changeList() {
+	next := append([]int(nil), s.lists[len(s.lists)-1]...)
+	replaced := s.rng.IntN(len(next))
+	for j := range s.vms {
 		if !slices.Contains(next, j) {
-			next[out] = j
-			w.boot(j) // a VM that comes new has just started
+			next[replaced] = j
+			s.boot(j) // a newly listed VM has just started
 			break
 		}
 	}
-	w.lists = append(w.lists, next)
+	s.lists = append(s.lists, next)
 }
 
-// fresh counts the listed VMs that lack records after a restart or a change.
-func (w *world) fresh() int {
+// countIncompleteVMs counts the listed VMs that lack records after a restart or a change of the
+// list.
+func (s *simulation) countIncompleteVMs() int {
 	n := 0
-	for _, j := range w.lists[len(w.lists)-1] {
-		v := w.vms[j]
-		if v.list != len(w.lists)-1 || !v.history.Complete(w.now) || len(v.asked) < listed-1 {
+	for _, j := range s.lists[len(s.lists)-1] {
+		v := s.vms[j]
+		if v.listVersion != len(s.lists)-1 || !v.history.Complete(s.now) || len(v.recordsFrom) < listedVMs-1 {
 			n++
 		}
 	}
 	return n
 }
 
-// maxFresh is how many VMs may lack their records at once: two crashes.
-const maxFresh = 1
+// maxIncompleteBeforeFault is the number of incomplete VMs up to which another one may be restarted
+// or replaced, so that at most two lack their records at once.
+const maxIncompleteBeforeFault = 1
 
 // deliverOne delivers or loses one message.
-func (w *world) deliverOne() {
-	if len(w.net) == 0 {
+func (s *simulation) deliverOne() {
+	if len(s.messages) == 0 {
 		return
 	}
-	n := w.rng.IntN(len(w.net))
-	f := w.net[n]
-	w.net = append(w.net[:n:n], w.net[n+1:]...)
-	f(w.rng.IntN(12) > 0)
+	n := s.rng.IntN(len(s.messages))
+	deliver := s.messages[n]
+	s.messages = append(s.messages[:n:n], s.messages[n+1:]...)
+	deliver(s.rng.IntN(12) > 0)
 }
 
-// step lets one thing happen: mostly the network, then callers, then faults.
-func (w *world) step() {
-	newest := len(w.lists) - 1
-	w.now = w.now.Add(time.Duration(w.rng.IntN(60)) * time.Millisecond)
-	switch k := w.rng.IntN(40); {
-	case k < 30:
-		w.deliverOne()
-	case k < 33:
-		w.try(w.lists[newest][w.rng.IntN(listed)], keys[w.rng.IntN(len(keys))])
-	case k < 35:
-		w.sync(w.rng.IntN(len(w.vms)))
-	case k < 37:
-		w.adopt(w.rng.IntN(len(w.vms)), newest)
-	case k < 39 && w.fresh() <= maxFresh:
-		w.boot(w.lists[newest][w.rng.IntN(listed)])
-	case w.fresh() <= maxFresh:
-		w.change()
+// step simulates one event: most often of the network, less often of a caller, rarely a fault.
+func (s *simulation) step() {
+	newest := len(s.lists) - 1
+	s.now = s.now.Add(time.Duration(s.rng.IntN(60)) * time.Millisecond)
+	switch event := s.rng.IntN(40); {
+	case event < 30:
+		s.deliverOne()
+	case event < 33:
+		s.attempt(s.lists[newest][s.rng.IntN(listedVMs)], keys[s.rng.IntN(len(keys))])
+	case event < 35:
+		s.requestRecords(s.rng.IntN(len(s.vms)))
+	case event < 37:
+		s.applyList(s.rng.IntN(len(s.vms)), newest)
+	case event < 39 && s.countIncompleteVMs() <= maxIncompleteBeforeFault:
+		s.boot(s.lists[newest][s.rng.IntN(listedVMs)])
+	case s.countIncompleteVMs() <= maxIncompleteBeforeFault:
+		s.changeList()
 	}
 }
 
-// schedule runs one schedule. It returns the key that ran twice, if any, and how
-// many keys ran.
-func schedule(seed uint64, steps int, broken rule) (doubled string, ran int) {
-	w := newWorld(seed, broken)
+// runSchedule runs one schedule. It returns the key that ran twice, if any, and the number of keys
+// that ran.
+func runSchedule(seed uint64, steps int, broken brokenRule) (doubled string, ran int) {
+	s := newSimulation(seed, broken)
 	for range steps {
-		w.step()
-		for key, n := range w.ran {
+		s.step()
+		for key, n := range s.runCounts {
 			if n > 1 {
-				return key, len(w.ran)
+				return key, len(s.runCounts)
 			}
 		}
 	}
-	return "", len(w.ran)
+	return "", len(s.runCounts)
 }
 
 const (
-	schedules = 1000
-	stepsEach = 600
+	scheduleCount    = 1000
+	stepsPerSchedule = 600
 )
 
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	total := 0
-	for seed := range uint64(schedules) {
-		doubled, ran := schedule(seed, stepsEach, noRule)
+	for seed := range uint64(scheduleCount) {
+		doubled, ran := runSchedule(seed, stepsPerSchedule, noBrokenRule)
 		assert.Equal(t, doubled, "", "seed %d", seed)
 		total += ran
 	}
-	t.Logf("%d schedules of %d steps, %d of %d keys ran", schedules, stepsEach, total, schedules*len(keys))
-	assert.Assert(t, total > schedules, "too few keys ran to show anything: %d", total)
+	t.Logf("%d schedules of %d steps, %d of %d keys ran", scheduleCount, stepsPerSchedule, total, scheduleCount*len(keys))
+	assert.Assert(t, total > scheduleCount, "too few keys ran for the test to be meaningful: %d", total)
 }
 
-// TestBrokenRulesAreCaught breaks each rule and expects a schedule to show it.
-// Rare ones are looked for from a seed near the first that does.
+// TestBrokenRulesAreCaught breaks one rule at a time and expects that some schedule runs a key
+// twice. For rules whose violation rarely shows, the search starts at a seed shortly before the
+// first schedule that shows it.
 func TestBrokenRulesAreCaught(t *testing.T) {
 	for _, c := range []struct {
-		broken rule
+		broken brokenRule
 		from   uint64
 	}{
-		{broken: noCertainty},
-		{broken: oneHolder},
-		{broken: oldList, from: 292_400},
-		{broken: notWhole, from: 2_900},
-		{broken: askEarly, from: 131_500},
-		{broken: finishAll},
+		{broken: countNonAuthoritative},
+		{broken: acceptOneVote},
+		{broken: acceptOldList, from: 292_400},
+		{broken: countIncomplete, from: 2_900},
+		{broken: requestRecordsEarly, from: 131_500},
+		{broken: finishUnknownAsNotRun},
 	} {
 		t.Run(string(c.broken), func(t *testing.T) {
-			for seed := c.from; seed < c.from+schedules; seed++ {
-				if doubled, _ := schedule(seed, stepsEach, c.broken); doubled != "" {
+			for seed := c.from; seed < c.from+scheduleCount; seed++ {
+				if doubled, _ := runSchedule(seed, stepsPerSchedule, c.broken); doubled != "" {
 					t.Logf("caught by schedule %d", seed+1)
 					return
 				}
--- a/coord/outcome/quorum.go
+++ b/coord/outcome/quorum.go
@@ -2,79 +2,79 @@
 
 import "time"
 
-// Decision is what the VM that serves the caller does next.
+// Decision is the next action of the VM that serves the caller.
 type Decision int
 
-// The decisions of a Quorum.
+// Decisions of a Quorum.
 const (
-	// Wait for more answers.
+	// Wait means to wait for more votes.
 	Wait Decision = iota
-	// Run the request: two certain holders have recorded it.
+	// Run means to run the request: two authoritative holders, or the only one, have recorded it.
 	Run
-	// Answer with the outcome of the earlier run.
+	// Answer means to return the outcome of the earlier run.
 	Answer
-	// AwaitRun waits for the run that is open, then asks again.
+	// AwaitRun means to wait for the run that is open and to begin again then.
 	AwaitRun
-	// RefuseMismatch: the key belongs to a different request.
+	// RefuseMismatch means that the key belongs to a different request.
 	RefuseMismatch
-	// RefuseUnknown: too few certain holders answered, or the outcome of the
-	// earlier run is not known.
+	// RefuseUnknown means that too few authoritative holders responded or that the outcome of the
+	// earlier run is unknown.
 	RefuseUnknown
-	// RefuseFull: holders have no room for the record; this try did not run.
+	// RefuseFull means that holders have no room for the record; this attempt did not run.
 	RefuseFull
 )
 
-// Vote is one holder's answer.
+// Vote is the response of one holder.
 type Vote struct {
 	Result VoteResult
-	// Authoritative says that the holder can have missed no record of the key.
+	// Authoritative is true if the holder cannot have missed any record of the key.
 	Authoritative bool
-	// Record is what the holder had, for Busy and Repeat.
+	// Record is the holder's record of the key, for Busy and Repeat.
 	Record *Record
 }
 
-// VoteValidity is how long a vote counts after its Begin was sent. A holder that
-// starts anew asks the others for records only once this time has passed since
-// its start: by then each run that was granted with a vote of its earlier process
-// stands at another holder. Only the time that passes at each of the two counts,
-// so a clock that is wrong does no harm, and a pause makes a vote too old.
+// VoteValidity is how long votes count after their Begin was sent. A restarted holder requests
+// records from the other holders only when this time has passed since its start. By then, each run
+// that was granted with a vote of its previous process is recorded at another holder. Both sides
+// measure only elapsed time, so a wrong clock does no harm, and the suspension of a VM makes a vote
+// too old.
 const VoteValidity = time.Second
 
-// Quorum collects the answers to one Begin.
+// Quorum collects the votes on one Begin.
 type Quorum struct {
-	sent    time.Time
-	holders int
-	granted int
-	open    int
-	full    int
-	silent  int
-	heard   int
-	prior   *Record
-	other   *Record
-	clash   bool
+	sentAt     time.Time
+	holders    int
+	granted    int
+	busy       int
+	full       int
+	noResponse int
+	responses  int
+	prior      *Record
+	openRun    *Record
+	mismatch   bool
 }
 
-// NewQuorum returns a Quorum over that many holders, whose Begins are sent now. A
-// fleet of fewer than
-// Holders VMs has fewer; all of them are needed then.
+// NewQuorum returns a Quorum of the given number of holders, whose Begin requests are sent at now.
+// A fleet of fewer than ReplicationFactor VMs has fewer holders. A quorum of one or two holders
+// needs the grants of all of them.
 func NewQuorum(now time.Time, holders int) *Quorum {
-	return &Quorum{sent: now, holders: holders}
+	return &Quorum{sentAt: now, holders: holders}
 }
 
-// RecordVote takes a holder's answer.
+// RecordVote records the vote of a holder and returns the resulting decision.
 func (q *Quorum) RecordVote(now time.Time, v Vote) Decision {
-	q.heard++
-	if now.Sub(q.sent) > VoteValidity {
+	q.responses++
+	if now.Sub(q.sentAt) > VoteValidity {
 		v.Authoritative = false
 	}
 	switch v.Result {
 	case Mismatch:
-		q.clash = true
+		q.mismatch = true
 	case Repeat:
 		q.prior = v.Record
 	case Busy:
-		q.open++
-		q.other = v.Record
+		q.busy++
+		q.openRun = v.Record
 	case Full:
 		q.full++
 	case Granted:
@@ -85,33 +85,33 @@
 	return q.Decide()
 }
 
-// RecordNoResponse takes the failure to reach a holder.
+// RecordNoResponse records that a holder could not be reached and returns the resulting decision.
 func (q *Quorum) RecordNoResponse() Decision {
-	q.heard++
-	q.silent++
+	q.responses++
+	q.noResponse++
 	return q.Decide()
 }
 
-// Decide returns what the answers so far allow. What any holder knows of an
-// earlier run counts, certain or not; only a grant needs certainty. Two certain
-// grants suffice even when the third holder has another open run: that run
-// cannot have had two. Whoever is not told to Run must finish its own run as
-// NotRun, since some holders may have recorded it.
+// Decide returns the decision that the votes so far allow. Information about an earlier run counts
+// even from a holder that is not authoritative; only grants require an authoritative holder. Two
+// authoritative grants suffice even if the third holder has another open run, since that run cannot
+// have had two grants. A caller whose final decision is not Run must finish its own run as NotRun,
+// since some holders may have recorded it.
 func (q *Quorum) Decide() Decision {
 	switch {
-	case q.clash:
+	case q.mismatch:
 		return RefuseMismatch
 	case q.prior != nil && q.prior.Answer != nil:
 		return Answer
-	case q.prior != nil && q.heard == q.holders:
+	case q.prior != nil && q.responses == q.holders:
 		return RefuseUnknown
 	case q.holders == 0:
 		return RefuseUnknown
-	case q.heard < q.holders:
+	case q.responses < q.holders:
 		return Wait
 	case q.granted >= min(QuorumSize, q.holders):
 		return Run
-	case q.open > 0:
+	case q.busy > 0:
 		return AwaitRun
 	case q.full > 0:
 		return RefuseFull
@@ -119,11 +119,10 @@
 	return RefuseUnknown
 }
 
-// Prior returns the record of an earlier run, finished or open; nil when none
-// was found.
+// Prior returns the record of an earlier run, finished or open, or nil if none was found.
 func (q *Quorum) Prior() *Record {
 	if q.prior != nil {
 		return q.prior
 	}
-	return q.other
+	return q.openRun
 }
