--- a/coord/quarantine/bound.go
+++ b/coord/quarantine/bound.go
@@ -6,25 +6,26 @@
 	"slices"
 )
 
-// add takes a content in. Where there is no room, the half goes that matters least: suspects
-// before what is held, those with few ends and the oldest first.
-func (t *Table) add(d Digest, c *content) {
+// addContent adds a content. If the table is full, it first removes the less important half:
+// suspect content before blocked content, and among the former that with the fewest crashed targets
+// and the oldest evidence.
+func (t *Table) addContent(d Digest, c *content) {
 	if len(t.contents) >= maxContents {
-		least := slices.SortedFunc(maps.Keys(t.contents), func(a, b Digest) int {
-			return t.contents[a].compare(t.contents[b])
+		byImportance := slices.SortedFunc(maps.Keys(t.contents), func(a, b Digest) int {
+			return t.contents[a].compareImportance(t.contents[b])
 		})
-		for _, old := range least[:len(least)/2] {
+		for _, old := range byImportance[:len(byImportance)/2] {
 			delete(t.contents, old)
 		}
 	}
 	t.contents[d] = c
 }
 
-// compare ranks contents by how much they matter.
-func (c *content) compare(other *content) int {
+// compareImportance orders contents by the importance of keeping them, least important first.
+func (c *content) compareImportance(other *content) int {
 	return cmp.Or(
-		c.heldUntil.Compare(other.heldUntil),
-		cmp.Compare(len(c.targets), len(other.targets)),
-		c.last.Compare(other.last),
+		c.blockedUntil.Compare(other.blockedUntil),
+		cmp.Compare(len(c.crashedTargets), len(other.crashedTargets)),
+		c.lastEvidence.Compare(other.lastEvidence),
 	)
 }
--- a/coord/quarantine/findings.go
+++ b/coord/quarantine/findings.go
@@ -6,48 +6,48 @@
 	"github.com/junctionfold/junctionfold/coord"
 )
 
-// Finding is what is known of one content, to be told to other VMs and to operators.
+// Finding is the evidence against one content, for other VMs and for operators.
 type Finding struct {
 	Digest  Digest
 	Targets []string
-	// Since is when the first target ended, Held for how long it is held from now on; 0: it
-	// is suspect.
+	// Since is the time of the first evidence. BlockedFor is how much longer the content is
+	// blocked; 0 means that it is suspect.
 	Since      time.Time
 	BlockedFor time.Duration
 }
 
 func (t *Table) finding(now time.Time, d Digest) Finding {
 	c := t.contents[d]
-	return Finding{Digest: d, Targets: c.targets, Since: c.since, BlockedFor: max(c.heldUntil.Sub(now), 0)}
+	return Finding{Digest: d, Targets: c.crashedTargets, Since: c.firstEvidence, BlockedFor: max(c.blockedUntil.Sub(now), 0)}
 }
 
-// Merge takes what another VM found. What is held there is held here for as long; what is not any
-// more may be tried here as well.
+// Merge adds a finding of another VM. Content that is blocked there is blocked here for the same
+// time. Content whose block has ended there may be tried here as well.
 func (t *Table) Merge(now time.Time, f Finding) {
-	var held time.Time
+	var blockedUntil time.Time
 	if c := t.contents[f.Digest]; c != nil {
-		held = c.heldUntil
+		blockedUntil = c.blockedUntil
 	}
 	for _, target := range f.Targets {
-		t.addEnd(now, f.Digest, target, false)
+		t.recordCrash(now, f.Digest, target, false)
 	}
 	c := t.contents[f.Digest]
 	switch {
 	case c == nil:
 	case f.BlockedFor > 0:
-		c.heldUntil = coord.Later(held, now.Add(f.BlockedFor))
-	case held.IsZero() && len(c.targets) >= heldAfter:
-		c.heldUntil = now
+		c.blockedUntil = coord.Later(blockedUntil, now.Add(f.BlockedFor))
+	case blockedUntil.IsZero() && len(c.crashedTargets) >= blockAfterCrashes:
+		c.blockedUntil = now
 	default:
-		c.heldUntil = held
+		c.blockedUntil = blockedUntil
 	}
 }
 
-// Findings lists all that is known, held or suspect.
+// Findings returns all suspect and blocked contents.
 func (t *Table) Findings(now time.Time) []Finding {
 	out := make([]Finding, 0, len(t.contents))
 	for d, c := range t.contents {
-		if len(c.targets) > 0 && !c.trusted {
+		if len(c.crashedTargets) > 0 && !c.trusted {
 			out = append(out, t.finding(now, d))
 		}
 	}
--- a/coord/quarantine/judge.go
+++ b/coord/quarantine/judge.go
@@ -5,115 +5,118 @@
 	"time"
 )
 
-// Tick judges what broke off, and forgets what is old. It returns what is new.
+// Tick evaluates disconnects whose settle time has passed, and removes expired entries. It returns
+// new findings.
 func (t *Table) Tick(now time.Time) (found []Finding) {
 	for target, inc := range t.incidents {
-		if now.Sub(inc.at) < settleTime {
+		if now.Sub(inc.startedAt) < crashSettleTime {
 			continue
 		}
 		delete(t.incidents, target)
-		ended := float64(len(inc.broken)) >= brokenShare*float64(inc.ran)
-		only := t.candidates(inc) == 1
-		explained := t.suspectAmong(inc)
-		for _, r := range inc.broken {
-			if c := t.contents[r.digest]; !ended && c != nil && len(c.targets) == 0 {
+		crashed := float64(len(inc.disconnected)) >= minDisconnectedShare*float64(inc.inFlight)
+		soleCandidate := t.countCandidates(inc) == 1
+		explainedBySuspect := t.hasKnownSuspect(inc)
+		for _, r := range inc.disconnected {
+			if c := t.contents[r.digest]; !crashed && c != nil && len(c.crashedTargets) == 0 {
 				delete(t.contents, r.digest)
 			}
-			if ended && t.judge(now, r, only, explained) {
+			if crashed && t.evaluateDisconnect(now, r, soleCandidate, explainedBySuspect) {
 				found = append(found, t.finding(now, r.digest))
 			}
 		}
 	}
-	if now.Sub(t.forgotAt) >= forgetGap {
-		t.forgetAt(now)
+	if now.Sub(t.lastExpiry) >= expiryInterval {
+		t.expire(now)
 	}
 	return found
 }
 
-// forgetAt forgets runs whose ends are lost, and contents that nothing was found of for long.
-func (t *Table) forgetAt(now time.Time) {
-	t.forgotAt = now
-	for key, r := range t.runs {
-		if now.After(r.until.Add(endGrace)) {
-			t.forget(key, r)
-			t.freeTrial(key)
+// expire removes requests whose end was never reported, and contents without recent evidence.
+func (t *Table) expire(now time.Time) {
+	t.lastExpiry = now
+	for key, r := range t.inFlight {
+		if now.After(r.deadline.Add(lostEndGrace)) {
+			t.removeRequest(key, r)
+			t.releaseTrial(key)
 		}
 	}
 	for d, c := range t.contents {
-		if now.Sub(c.last) > suspectTime && now.After(c.heldUntil.Add(suspectTime)) {
+		if now.Sub(c.lastEvidence) > suspectTTL && now.After(c.blockedUntil.Add(suspectTTL)) {
 			delete(t.contents, d)
 		}
 	}
 }
 
-// candidates counts the contents among what broke off that have not ended well lately.
-func (t *Table) candidates(inc *incident) int {
+// countCandidates counts the contents among the disconnected requests that have not recently
+// succeeded.
+func (t *Table) countCandidates(inc *incident) int {
 	seen := map[Digest]bool{}
-	for _, r := range inc.broken {
-		if !t.innocent.has(r.digest) {
+	for _, r := range inc.disconnected {
+		if !t.knownGood.has(r.digest) {
 			seen[r.digest] = true
 		}
 	}
 	return len(seen)
 }
 
-// suspectAmong reports whether targets ended before under content of what broke off.
-func (t *Table) suspectAmong(inc *incident) bool {
-	return slices.ContainsFunc(inc.broken, func(r run) bool {
-		c := t.suspect(r.digest)
-		return c != nil && len(c.targets) > 0
+// hasKnownSuspect reports whether targets crashed earlier under any content of the disconnected
+// requests.
+func (t *Table) hasKnownSuspect(inc *incident) bool {
+	return slices.ContainsFunc(inc.disconnected, func(r request) bool {
+		c := t.suspectOrBlocked(r.digest)
+		return c != nil && len(c.crashedTargets) > 0
 	})
 }
 
-// judge takes a run that broke off as its target ended, alone in question there or not. It
-// reports whether that tells something new of its content. An end that a suspect explains says
-// nothing of content that ended well.
-func (t *Table) judge(now time.Time, r run, only, explained bool) bool {
-	if !t.innocent.has(r.digest) {
-		return t.addEnd(now, r.digest, r.target, only)
+// evaluateDisconnect evaluates a request that was disconnected by the crash of its target. It
+// reports whether this is new evidence against its content. A crash that a suspect explains is no
+// evidence against content that has succeeded.
+func (t *Table) evaluateDisconnect(now time.Time, r request, soleCandidate, explainedBySuspect bool) bool {
+	if !t.knownGood.has(r.digest) {
+		return t.recordCrash(now, r.digest, r.target, soleCandidate)
 	}
 	c := t.contents[r.digest]
 	switch {
-	case explained:
+	case explainedBySuspect:
 		return false
 	case c == nil:
-		t.add(r.digest, &content{since: now, last: now, targets: []string{r.target}, ranWell: true, trusted: true})
+		t.addContent(r.digest, &content{firstEvidence: now, lastEvidence: now, crashedTargets: []string{r.target}, succeededBefore: true, trusted: true})
 		return false
-	case c.trusted && !r.began.After(c.last):
-		return false // many targets ended at one moment, which says nothing of what they ran
-	case slices.Contains(c.targets, r.target):
-		return false // one target that drops what it runs
+	case c.trusted && !r.sentAt.After(c.lastEvidence):
+		return false // many targets crashed at the same time, which is no evidence against what they ran
+	case slices.Contains(c.crashedTargets, r.target):
+		return false // a single target that drops its requests repeatedly
 	}
-	t.innocent.remove(r.digest)
-	return t.addEnd(now, r.digest, r.target, false)
+	t.knownGood.remove(r.digest)
+	return t.recordCrash(now, r.digest, r.target, false)
 }
 
-// addEnd takes that a target ended under a content, as the only candidate there or not, and
-// reports whether that is new.
-func (t *Table) addEnd(now time.Time, d Digest, target string, only bool) bool {
+// recordCrash records that a target crashed under a content, and whether that content was the only
+// candidate. It reports whether this is new evidence.
+func (t *Table) recordCrash(now time.Time, d Digest, target string, soleCandidate bool) bool {
 	c := t.contents[d]
 	if c == nil {
-		c = &content{since: now}
-		t.add(d, c)
+		c = &content{firstEvidence: now}
+		t.addContent(d, c)
 	}
-	if slices.Contains(c.targets, target) {
+	if slices.Contains(c.crashedTargets, target) {
 		return false
 	}
-	c.targets = append(c.targets, target)
-	c.last = now
+	c.crashedTargets = append(c.crashedTargets, target)
+	c.lastEvidence = now
 	c.trusted = false
 	switch {
-	case !c.heldUntil.IsZero():
-		c.heldUntil = now.Add(longHold)
-	case len(c.targets) >= heldAfter, len(c.targets) == heldAfter-1 && only:
-		c.heldUntil = now.Add(c.firstHold())
+	case !c.blockedUntil.IsZero():
+		c.blockedUntil = now.Add(repeatBlockDuration)
+	case len(c.crashedTargets) >= blockAfterCrashes, len(c.crashedTargets) == blockAfterCrashes-1 && soleCandidate:
+		c.blockedUntil = now.Add(c.firstBlockDuration())
 	}
 	return true
 }
 
-func (c *content) firstHold() time.Duration {
-	if c.ranWell {
-		return probation
+func (c *content) firstBlockDuration() time.Duration {
+	if c.succeededBefore {
+		return knownGoodBlockDuration
 	}
-	return holdTime
+	return blockDuration
 }
--- a/coord/quarantine/quarantine.go
+++ b/coord/quarantine/quarantine.go
@@ -1,27 +1,28 @@
-// Package quarantine finds requests that end their targets, and keeps them from further ones.
+// Package quarantine detects requests that crash their targets, and keeps them away from further
+// targets.
 //
-// Some content makes the process that works on it crash. Sent on by our own attempts, by
-// resumed streams and by callers who ask again under a new id, it would walk through the fleet,
-// one target after the other, and cut what runs beside it each time. A request is known by a
-// digest of what it asks, without what differs between attempts. Evidence is which digests
-// were under way when a target ended:
+// Some content crashes the process that works on it. Retries by this system, resumed streams and
+// callers that retry under a new request ID would send it to one target after the other, and each
+// crash would also break the requests that run beside it. A request is identified by a digest of
+// its content, without the parts that differ between attempts. The evidence is which digests were
+// in flight when a target crashed:
 //
-//   - a target has ended if at least half of what ran there broke off within settleTime; single
-//     broken answers are lost ones;
-//   - content that ended well lately is innocent, whatever it was beside, until targets have
-//     ended under two of its requests one after the other and none ended well in between;
-//   - content under which one target ended is suspect: one such request runs at a time over the
-//     whole fleet, at a target where no other suspect runs, until it ends well;
-//   - content under which three ended is held, or two if nothing else that may be guilty ran
-//     there: refused at once, for holdTime. Then one request may try; a further end holds it for
-//     the longest time.
+//   - A target counts as crashed if at least half of the requests in flight there were disconnected
+//     within crashSettleTime. Fewer broken responses count as lost connections.
+//   - Content that recently succeeded is known good, whatever it ran beside, until targets have
+//     crashed under two of its requests, one after the other, without a success in between.
+//   - Content under which one target crashed is suspect. Only one such request runs at a time in
+//     the whole fleet, at a target where no other suspect runs, until one succeeds.
+//   - Content under which three targets crashed, or two if no other candidate ran there, is
+//     blocked: its requests are refused at once for blockDuration. After that, one request may run
+//     as a trial; another crash blocks the content for repeatBlockDuration.
 //
-// An innocent request beside a guilty one is suspect as well. It is hurt only if its very
-// content is asked for twice at once, or if it breaks off a second time and is asked for a
-// third time: callers come back once.
+// A harmless request beside a crashing one becomes suspect as well. It is affected only if the same
+// content is requested twice at once, or if it is disconnected a second time and requested a third
+// time; callers retry once.
 //
-// Table has no clock and does no I/O. It is not safe for concurrent use. The VM that decides
-// keeps it and tells the others what it finds, so that the next one goes on from there.
+// Table has no clock and does no I/O. It is not safe for concurrent use. The leader keeps it and
+// sends its findings to the other VMs, so that the next leader starts with them.
 package quarantine
 
 import (
@@ -31,230 +32,235 @@
 	"github.com/junctionfold/junctionfold/coord"
 )
 
-// Digest stands for what a request asks; the zero value for none.
+// Digest identifies the content of a request; the zero value means no content.
 type Digest [16]byte
 
-// Key names a request.
+// Key identifies a request.
 type Key = coord.RequestKey
 
-// Figures of evidence.
+// Thresholds, durations and bounds of the evidence.
 const (
-	// settleTime is how long what ran at a target may take to break off with it: connections
-	// are reset at once, and word of it takes some ms.
-	settleTime = 300 * time.Millisecond
-	// brokenShare of what ran at a target must have broken off by then.
-	brokenShare = 0.5
-	// heldAfter so many targets content is held; one less is enough where it alone can be the
-	// cause. With one less always, contents that many ask for and that ran beside guilty ones as
-	// these were new were held in 5 of 30 played fleets (TestRandomFleets).
-	heldAfter = 3
-	// suspectTime is how long suspicion lasts without anything new: a caller's longest wait,
-	// many times.
-	suspectTime = 10 * time.Minute
-	// holdTime is for how long content is held, and longHold after its third end: long enough
-	// for somebody to look, and not for ever, since targets are mended.
-	holdTime = 10 * time.Minute
-	longHold = 24 * time.Hour
-	// probation is the first hold of content that ended well before: its targets may have ended
-	// for another cause.
-	probation = 10 * time.Second
-	// maxContents bounds the suspects; the half that matters least goes when it is reached.
-	// maxInnocent bounds the contents that ended well: some minutes of a heavy day. 24 bytes and
-	// a map's place each.
-	maxContents = 4096
-	maxInnocent = 16384
-	// trialTime is how long the one request of suspect content may take before another may
-	// try: its VM may have died.
-	trialTime = 20 * time.Second
-	// endGrace is how long after its deadline a request counts as under way whose end nobody tells:
-	// its VM's word may be lost.
-	endGrace = 500 * time.Millisecond
-	// forgetGap is the time between two looks for what is to be forgotten, which go over all runs.
-	forgetGap = 200 * time.Millisecond
-	// pause is when to come back while another request of suspect content runs.
-	pause = 500 * time.Millisecond
+	// crashSettleTime is how long after the first disconnect at a target the others may follow.
+	// Connections are reset at once, and their reports take some milliseconds.
+	crashSettleTime = 300 * time.Millisecond
+	// minDisconnectedShare is the share of the requests in flight at a target that must have been
+	// disconnected by then for the target to count as crashed.
+	minDisconnectedShare = 0.5
+	// blockAfterCrashes is the number of crashed targets after which content is blocked. One less
+	// suffices where the content is the only candidate. With one less in all cases, popular content
+	// that ran beside crashing content while the latter was new was blocked in 5 of 30 simulated
+	// fleets (TestRandomFleets).
+	blockAfterCrashes = 3
+	// suspectTTL is how long suspicion lasts without new evidence: many times the longest wait of a
+	// caller.
+	suspectTTL = 10 * time.Minute
+	// blockDuration is how long content is blocked, repeatBlockDuration how long after a further
+	// crash. Both leave an operator time to investigate, but they end, since targets get fixed.
+	blockDuration       = 10 * time.Minute
+	repeatBlockDuration = 24 * time.Hour
+	// knownGoodBlockDuration is the first block of content that succeeded before: its targets may
+	// have crashed for another reason.
+	knownGoodBlockDuration = 10 * time.Second
+	// maxContents bounds the contents with evidence; the less important half is removed when it is
+	// reached. maxKnownGood bounds the contents that recently succeeded: some minutes of heavy
+	// traffic, at 24 bytes plus map overhead each.
+	maxContents  = 4096
+	maxKnownGood = 16384
+	// trialTimeout is how long the trial request of suspect content may take before another one may
+	// run: its VM may have crashed.
+	trialTimeout = 20 * time.Second
+	// lostEndGrace is how long after its deadline a request still counts as in flight if its end is
+	// not reported: the report of its VM may be lost.
+	lostEndGrace = 500 * time.Millisecond
+	// expiryInterval is the time between two passes of expire, which visit all requests in flight.
+	expiryInterval = 200 * time.Millisecond
+	// suspectRetryDelay is the retry delay while another request of suspect content runs.
+	suspectRetryDelay = 500 * time.Millisecond
 )
 
 // Reasons of refusals.
 const (
-	// ReasonBlocked: targets ended under this content.
+	// ReasonBlocked means that targets crashed under this content.
 	ReasonBlocked = "content_held"
-	// ReasonSuspect: a target ended under this content, and another such request runs.
+	// ReasonSuspect means that a target crashed under this content, and that another request with
+	// it runs.
 	ReasonSuspect = "content_suspect"
 )
 
-// content is what is known of one digest.
+// content is the evidence against one digest.
 type content struct {
-	// targets that ended under it.
-	targets []string
-	since   time.Time
-	last    time.Time
-	// heldUntil is zero for suspects.
-	heldUntil time.Time
-	// ranWell says that it ended well before, and trusted that one end is not enough to suspect it.
-	ranWell, trusted bool
-	// trial is the request that runs as the only one, from trialAt on.
-	trial   Key
-	trialAt time.Time
+	// crashedTargets are the targets that crashed under it.
+	crashedTargets []string
+	firstEvidence  time.Time
+	lastEvidence   time.Time
+	// blockedUntil is zero for content that has never been blocked.
+	blockedUntil time.Time
+	// succeededBefore is true if the content succeeded earlier, trusted if one crash is not enough
+	// to suspect it.
+	succeededBefore, trusted bool
+	// trial is the only request with this content that may run, since trialStartedAt.
+	trial          Key
+	trialStartedAt time.Time
 }
 
-// run is a request that is under way.
-type run struct {
+// request is a request in flight.
+type request struct {
 	digest Digest
 	target string
-	// began is when it was sent, as far as is known here, and until its deadline.
-	began, until time.Time
+	// sentAt is when this VM learned that the request was sent.
+	sentAt, deadline time.Time
 }
 
-// incident is what broke off at one target.
+// incident is a group of disconnects at one target.
 type incident struct {
-	at     time.Time
-	ran    int
-	broken []run
+	startedAt    time.Time
+	inFlight     int
+	disconnected []request
 }
 
-// Table is what one VM knows.
+// Table holds the requests in flight and the evidence of one VM.
 type Table struct {
-	contents  map[Digest]*content
-	innocent  recent
-	runs      map[Key]run
-	atTarget  map[string]int
-	running   map[Digest]int
-	incidents map[string]*incident
-	// forgotAt is when the last such look was.
-	forgotAt time.Time
+	contents         map[Digest]*content
+	knownGood        recentDigests
+	inFlight         map[Key]request
+	inFlightByTarget map[string]int
+	inFlightByDigest map[Digest]int
+	incidents        map[string]*incident
+	// lastExpiry is the time of the last pass of expire.
+	lastExpiry time.Time
 }
 
 // New returns an empty Table.
 func New() *Table {
 	return &Table{
-		contents: map[Digest]*content{}, innocent: recent{now: map[Digest]bool{}},
-		runs: map[Key]run{}, atTarget: map[string]int{}, running: map[Digest]int{}, incidents: map[string]*incident{},
+		contents: map[Digest]*content{}, knownGood: recentDigests{current: map[Digest]bool{}},
+		inFlight: map[Key]request{}, inFlightByTarget: map[string]int{}, inFlightByDigest: map[Digest]int{}, incidents: map[string]*incident{},
 	}
 }
 
-// Check reports whether a request may run now; else why not, and when to come back.
+// Check reports whether a request may run now. If not, it returns the reason and the retry delay.
 func (t *Table) Check(now time.Time, key Key, d Digest) (reason string, retry time.Duration) {
-	c := t.suspect(d)
+	c := t.suspectOrBlocked(d)
 	if c == nil {
 		return "", 0
 	}
-	if left := c.heldUntil.Sub(now); left > 0 {
-		return ReasonBlocked, left
+	if remaining := c.blockedUntil.Sub(now); remaining > 0 {
+		return ReasonBlocked, remaining
 	}
-	unsettled := t.unsettled(d)
-	if t.running[d] > 0 || unsettled > 0 && len(c.targets)+unsettled >= heldAfter {
-		return ReasonSuspect, pause
+	pending := t.countPendingCrashes(d)
+	if t.inFlightByDigest[d] > 0 || pending > 0 && len(c.crashedTargets)+pending >= blockAfterCrashes {
+		return ReasonSuspect, suspectRetryDelay
 	}
-	if c.trial != (Key{}) && c.trial != key && now.Sub(c.trialAt) < trialTime {
-		return ReasonSuspect, pause
+	if c.trial != (Key{}) && c.trial != key && now.Sub(c.trialStartedAt) < trialTimeout {
+		return ReasonSuspect, suspectRetryDelay
 	}
-	c.trial, c.trialAt = key, now
+	c.trial, c.trialStartedAt = key, now
 	return "", 0
 }
 
-// suspect returns what is known of a content that is suspect or held, or nil.
-func (t *Table) suspect(d Digest) *content {
+// suspectOrBlocked returns the evidence against a content that is suspect or blocked, or nil.
+func (t *Table) suspectOrBlocked(d Digest) *content {
 	if c := t.contents[d]; c != nil && !c.trusted {
 		return c
 	}
 	return nil
 }
 
-// unsettled counts the targets that may just have ended under a content.
-func (t *Table) unsettled(d Digest) int {
+// countPendingCrashes counts the targets with disconnects of a content that have not been evaluated
+// yet.
+func (t *Table) countPendingCrashes(d Digest) int {
 	n := 0
 	for _, inc := range t.incidents {
-		if slices.ContainsFunc(inc.broken, func(r run) bool { return r.digest == d }) {
+		if slices.ContainsFunc(inc.disconnected, func(r request) bool { return r.digest == d }) {
 			n++
 		}
 	}
 	return n
 }
 
-// TargetsToAvoid lists the targets where suspects run: a suspect that ran beside another one would
-// share its guilt.
+// TargetsToAvoid returns the targets that a request of suspect content must avoid: those where
+// other suspects run. Beside another suspect, it would be suspected of that one's crash as well.
 func (t *Table) TargetsToAvoid(d Digest) (targets []string) {
-	if t.suspect(d) == nil {
+	if t.suspectOrBlocked(d) == nil {
 		return nil
 	}
 	for _, c := range t.contents {
-		if r, runs := t.runs[c.trial]; runs {
+		if r, inFlight := t.inFlight[c.trial]; inFlight {
 			targets = append(targets, r.target)
 		}
 	}
 	return targets
 }
 
-// CheckWithoutLeader is Check for a VM that nobody gives verdicts: it cannot know of other requests of
-// suspect content, so none may run.
+// CheckWithoutLeader is Check for a VM that receives no decisions from a leader. It cannot know of
+// other requests with suspect content, so none may run.
 func (t *Table) CheckWithoutLeader(now time.Time, d Digest) (reason string, retry time.Duration) {
-	c := t.suspect(d)
+	c := t.suspectOrBlocked(d)
 	switch {
 	case c == nil:
 		return "", 0
-	case c.heldUntil.After(now):
-		return ReasonBlocked, c.heldUntil.Sub(now)
+	case c.blockedUntil.After(now):
+		return ReasonBlocked, c.blockedUntil.Sub(now)
 	}
-	return ReasonSuspect, pause
+	return ReasonSuspect, suspectRetryDelay
 }
 
-// RequestStarted takes that a request is sent to a target, with its deadline.
-func (t *Table) RequestStarted(now time.Time, key Key, d Digest, target string, until time.Time) {
-	if _, told := t.runs[key]; told || d == (Digest{}) {
+// RequestStarted records that a request was sent to a target, and its deadline.
+func (t *Table) RequestStarted(now time.Time, key Key, d Digest, target string, deadline time.Time) {
+	if _, known := t.inFlight[key]; known || d == (Digest{}) {
 		return
 	}
-	t.runs[key] = run{digest: d, target: target, began: now, until: until}
-	t.atTarget[target]++
-	t.running[d]++
+	t.inFlight[key] = request{digest: d, target: target, sentAt: now, deadline: deadline}
+	t.inFlightByTarget[target]++
+	t.inFlightByDigest[d]++
 }
 
-// RequestEnded takes the end of a request: whether it was answered well, or broke off with its
-// connection. Any other end says nothing.
-func (t *Table) RequestEnded(now time.Time, key Key, well, broke bool) {
-	r, known := t.runs[key]
+// RequestEnded records the end of a request, and whether it succeeded or was disconnected. Any
+// other end is no evidence.
+func (t *Table) RequestEnded(now time.Time, key Key, succeeded, disconnected bool) {
+	r, known := t.inFlight[key]
 	if !known {
-		t.freeTrial(key)
+		t.releaseTrial(key)
 		return
 	}
-	ran := t.atTarget[r.target]
-	t.forget(key, r)
+	inFlight := t.inFlightByTarget[r.target]
+	t.removeRequest(key, r)
 	switch {
-	case well:
-		t.innocent.add(r.digest)
+	case succeeded:
+		t.knownGood.add(r.digest)
 		delete(t.contents, r.digest)
-	case broke:
+	case disconnected:
 		inc := t.incidents[r.target]
 		if inc == nil {
-			inc = &incident{at: now, ran: ran}
+			inc = &incident{startedAt: now, inFlight: inFlight}
 			t.incidents[r.target] = inc
 		}
-		inc.broken = append(inc.broken, r)
-		t.expectEnd(now, r.digest)
+		inc.disconnected = append(inc.disconnected, r)
+		t.addProvisionalSuspect(now, r.digest)
 	}
-	t.freeTrial(key)
+	t.releaseTrial(key)
 }
 
-// expectEnd makes content suspect until it is known whether its target ended: an attempt that
-// goes on with a broken stream comes at once, and is the one that may run.
-func (t *Table) expectEnd(now time.Time, d Digest) {
-	if t.contents[d] == nil && !t.innocent.has(d) {
-		t.add(d, &content{since: now, last: now})
+// addProvisionalSuspect makes content suspect until it is known whether its target crashed. The
+// retry of a broken stream comes at once, and is the one request that may run.
+func (t *Table) addProvisionalSuspect(now time.Time, d Digest) {
+	if t.contents[d] == nil && !t.knownGood.has(d) {
+		t.addContent(d, &content{firstEvidence: now, lastEvidence: now})
 	}
 }
 
-func (t *Table) forget(key Key, r run) {
-	delete(t.runs, key)
-	if t.atTarget[r.target]--; t.atTarget[r.target] <= 0 {
-		delete(t.atTarget, r.target)
+func (t *Table) removeRequest(key Key, r request) {
+	delete(t.inFlight, key)
+	if t.inFlightByTarget[r.target]--; t.inFlightByTarget[r.target] <= 0 {
+		delete(t.inFlightByTarget, r.target)
 	}
-	if t.running[r.digest]--; t.running[r.digest] <= 0 {
-		delete(t.running, r.digest)
+	if t.inFlightByDigest[r.digest]--; t.inFlightByDigest[r.digest] <= 0 {
+		delete(t.inFlightByDigest, r.digest)
 	}
 }
 
-// freeTrial lets another request of suspect content run.
-func (t *Table) freeTrial(key Key) {
+// releaseTrial allows another request to run in place of the trial with the given key.
+func (t *Table) releaseTrial(key Key) {
 	for _, c := range t.contents {
 		if c.trial == key {
 			c.trial = Key{}
@@ -262,12 +268,13 @@
 	}
 }
 
-// ForgetVM forgets what a VM ran that is silent.
+// ForgetVM removes the requests of an unresponsive VM whose ticket (sequence number) is below
+// before.
 func (t *Table) ForgetVM(vm coord.VMID, before uint64) {
-	for key, r := range t.runs {
+	for key, r := range t.inFlight {
 		if key.VM == vm && key.Ticket < before {
-			t.forget(key, r)
-			t.freeTrial(key)
+			t.removeRequest(key, r)
+			t.releaseTrial(key)
 		}
 	}
 }
--- a/coord/quarantine/recent.go
+++ b/coord/quarantine/recent.go
@@ -1,18 +1,19 @@
 package quarantine
 
-// recent remembers the digests of late, up to maxInnocent and half of that at least.
-type recent struct{ now, before map[Digest]bool }
+// recentDigests is a set of the most recent digests. It holds at most maxKnownGood of them, and
+// never drops the latest maxKnownGood/2.
+type recentDigests struct{ current, previous map[Digest]bool }
 
-func (r *recent) add(d Digest) {
-	if len(r.now) >= maxInnocent/2 {
-		r.now, r.before = make(map[Digest]bool, maxInnocent/2), r.now
+func (r *recentDigests) add(d Digest) {
+	if len(r.current) >= maxKnownGood/2 {
+		r.current, r.previous = make(map[Digest]bool, maxKnownGood/2), r.current
 	}
-	r.now[d] = true
+	r.current[d] = true
 }
 
-func (r *recent) has(d Digest) bool { return r.now[d] || r.before[d] }
+func (r *recentDigests) has(d Digest) bool { return r.current[d] || r.previous[d] }
 
-func (r *recent) remove(d Digest) {
-	delete(r.now, d)
-	delete(r.before, d)
+func (r *recentDigests) remove(d Digest) {
+	delete(r.current, d)
+	delete(r.previous, d)
 }
