--- a/coord/quota/accounts.go
+++ b/coord/quota/accounts.go
@@ -2,44 +2,43 @@
 
 import "time"
 
-// accounts are buckets of all teams with a limit.
+// accounts holds the buckets of all teams that have a limit.
 type accounts struct {
-	room   Tolerance
-	limits map[string]Limit
-	teams  map[string]*bucket
-	// terms are how fast the bucket of a team with a limit fills, in units a second, and what
-	// it holds.
-	terms func(limit Limit) (rate, holds float64)
+	tolerance Tolerance
+	limits    map[string]Limit
+	buckets   map[string]*bucket
+	// bucketConfig returns the fill rate of a team's bucket, in units per second, and its capacity.
+	bucketConfig func(limit Limit) (rate, capacity float64)
 }
 
-func newAccounts(room Tolerance) accounts {
-	return accounts{room: room, teams: map[string]*bucket{}}
+func newAccounts(tolerance Tolerance) accounts {
+	return accounts{tolerance: tolerance, buckets: map[string]*bucket{}}
 }
 
-// SetLimits puts limits in force. Teams that are gone, or have no limit any more, are forgotten.
+// SetLimits replaces the limits. Accounts of teams without a limit are removed.
 func (a *accounts) SetLimits(now time.Time, limits map[string]Limit) {
 	a.limits = limits
-	for name := range a.teams {
+	for name := range a.buckets {
 		if limits[name].PerSecond <= 0 {
-			delete(a.teams, name)
+			delete(a.buckets, name)
 		}
 	}
 	a.configure(now)
 }
 
-// configure puts the terms in force for each team that has a limit; the bucket of a new one is
-// empty as of now.
+// configure applies bucketConfig to each team that has a limit. The bucket of a new team is empty
+// at now.
 func (a *accounts) configure(now time.Time) {
 	for name, limit := range a.limits {
 		if limit.PerSecond <= 0 {
 			continue
 		}
-		b := a.teams[name]
+		b := a.buckets[name]
 		if b == nil {
-			b = &bucket{at: now}
-			a.teams[name] = b
+			b = &bucket{updatedAt: now}
+			a.buckets[name] = b
 		}
-		rate, holds := a.terms(limit)
-		b.set(now, rate, holds)
+		rate, capacity := a.bucketConfig(limit)
+		b.configure(now, rate, capacity)
 	}
 }
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// room is that of the users' deployment.
-var room = Tolerance{Window: 8 * time.Second, ExcessRatio: 0.25, Slack: 11_000}
+// deploymentTolerance is the tolerance of the users' deployment.
+var deploymentTolerance = Tolerance{Window: 8 * time.Second, ExcessRatio: 0.25, Slack: 11_000}
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
@@ -21,26 +21,27 @@
 }
 
 func TestLedger(t *testing.T) {
-	l := NewLedger(room)
+	l := NewLedger(deploymentTolerance)
 	l.SetLimits(start, limits(10_000))
 	ok, wait := l.Charge(start, "crew", 1600)
 	assert.Assert(t, !ok && wait > 0, "a new ledger is empty")
 	ok, _ = l.Charge(at(wait), "crew", 1600)
-	assert.Assert(t, ok, "and fills")
+	assert.Assert(t, ok, "the ledger must refill")
 	ok, _ = l.Charge(start, "nobody's", 1e9)
 	assert.Assert(t, ok, "a team without a limit")
 	ran := 0
-	for i := range 20 { // all at once
+	for i := range 20 { // all at the same time
 		if ok, _ := l.Charge(at(10*time.Second), "crew", 1000+float64(i)); ok {
 			ran++
 		}
 	}
-	assert.Equal(t, ran, 13, "what may come at once, and a request on credit")
+	assert.Equal(t, ran, 13, "capacity, and one request in debt")
 }
 
-// TestRefusedCallersComeBackInTurn: each is told when its own units will be there.
-func TestRefusedCallersComeBackInTurn(t *testing.T) {
-	l := NewLedger(room)
+// TestRejectedCallersGetConsecutiveRetryDelays checks that each caller's retry delay ends when the
+// units for its own request are available.
+func TestRejectedCallersGetConsecutiveRetryDelays(t *testing.T) {
+	l := NewLedger(deploymentTolerance)
 	l.SetLimits(start, limits(10_000))
 	l.Charge(at(time.Millisecond), "crew", 1000)
 	var waits []time.Duration
@@ -59,18 +60,18 @@
 	}
 }
 
-func TestReturnedUnits(t *testing.T) {
-	l := NewLedger(room)
+func TestRefundIsCapped(t *testing.T) {
+	l := NewLedger(deploymentTolerance)
 	l.SetLimits(start, limits(10_000))
 	l.Charge(at(time.Second), "crew", 9000)
 	l.Refund(at(time.Second), "crew", 9000)
 	before := l.Levels(at(time.Second))[0].Level
 	l.Refund(at(time.Second), "crew", 1e9)
-	assert.Assert(t, l.Levels(at(time.Second))[0].Level <= 1 && before <= 1, "no account grows beyond its burst")
+	assert.Assert(t, l.Levels(at(time.Second))[0].Level <= 1 && before <= 1, "no account may exceed its capacity")
 }
 
-func TestLimitsChange(t *testing.T) {
-	l := NewLedger(room)
+func TestLowerLimitAndRemovedLimit(t *testing.T) {
+	l := NewLedger(deploymentTolerance)
 	l.SetLimits(start, limits(100_000))
 	l.SetLimits(at(5*time.Second), limits(1000))
 	sum := 0.0
@@ -82,23 +83,23 @@
 	assert.Assert(t, sum <= (1000*8+1000)*1.25+11_000, "%v", sum)
 	l.SetLimits(at(14*time.Second), map[string]Limit{})
 	ok, _ := l.Charge(at(14*time.Second), "crew", 1e9)
-	assert.Assert(t, ok, "the limit is gone")
+	assert.Assert(t, ok, "the limit was removed")
 }
 
 func TestReserve(t *testing.T) {
-	r := NewReserve(room)
+	r := NewReserve(deploymentTolerance)
 	r.SetLimits(start, limits(100_000))
-	assert.Assert(t, !r.Charge(start, "crew", 1, 0), "a VM that does not know its fleet")
-	r.SetFleetSize(start, 10, suspectTime)
-	assert.Assert(t, !r.Charge(start, "crew", 1, 0.001), "it begins with nothing")
-	assert.Assert(t, r.Charge(at(16*time.Second), "crew", 2900, 0.999), "and gains while the ledger answers")
-	r = NewReserve(room)
+	assert.Assert(t, !r.Charge(start, "crew", 1, 0), "the fleet size is unknown")
+	r.SetFleetSize(start, 10, suspectAfter)
+	assert.Assert(t, !r.Charge(start, "crew", 1, 0.001), "a new reserve must be empty")
+	assert.Assert(t, r.Charge(at(16*time.Second), "crew", 2900, 0.999), "the reserve must refill while the ledger responds")
+	r = NewReserve(deploymentTolerance)
 	r.SetLimits(start, limits(100_000))
-	r.SetFleetSize(start, 10, suspectTime)
+	r.SetFleetSize(start, 10, suspectAfter)
 	rng := rand.New(rand.NewPCG(1, 2))
-	run := func(from, to time.Duration, alone bool) (sum float64) {
+	run := func(from, to time.Duration, disconnected bool) (sum float64) {
 		for d := from; d < to; d += 20 * time.Millisecond {
-			r.SetDisconnected(at(d), alone)
+			r.SetDisconnected(at(d), disconnected)
 			if r.Charge(at(d), "crew", 400, rng.Float64()) {
 				sum += 400
 			}
@@ -106,21 +107,21 @@
 		return sum
 	}
 	first := run(0, 8*time.Second, true)
-	assert.Assert(t, first > 75_000 && first < 90_000, "its share: %v", first)
+	assert.Assert(t, first > 75_000 && first < 90_000, "full share: %v", first)
 	late := run(12*time.Second, 20*time.Second, true)
-	assert.Assert(t, late < 24_000, "the ledger may have forgotten it: %v", late)
-	assert.Assert(t, run(20*time.Second, 28*time.Second, false) < 5_000, "what it regains")
+	assert.Assert(t, late < 24_000, "share after the leader may have removed the VM: %v", late)
+	assert.Assert(t, run(20*time.Second, 28*time.Second, false) < 5_000, "refill while the ledger responds")
 }
 
-// TestPartOfARequest: a reserve of 72 that is smaller than a request lets as many through as
-// all of them together may.
-func TestPartOfARequest(t *testing.T) {
+// TestReserveSmallerThanOneRequest checks that 72 reserves, each of them smaller than one request,
+// admit about as many requests as all of them together may.
+func TestReserveSmallerThanOneRequest(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	sum := 0.0
 	for range 72 {
-		r := NewReserve(room)
+		r := NewReserve(deploymentTolerance)
 		r.SetLimits(start, limits(2700))
-		r.SetFleetSize(start, 72, suspectTime)
+		r.SetFleetSize(start, 72, suspectAfter)
 		for d := time.Duration(0); d < 8*time.Second; d += 500 * time.Millisecond {
 			r.SetDisconnected(at(d), true)
 			if r.Charge(at(d), "crew", 1600, rng.Float64()) {
@@ -131,9 +132,9 @@
 	assert.Assert(t, sum > 2700*8*0.7 && sum < 2700*9*1.3, "%v", sum)
 }
 
-// BenchmarkTake is the charge of one request among 2,000 teams.
+// BenchmarkTake measures the charge of one request among 2,000 teams.
 func BenchmarkTake(b *testing.B) {
-	l := NewLedger(room)
+	l := NewLedger(deploymentTolerance)
 	all := map[string]Limit{}
 	names := make([]string, 2000)
 	for i := range names {
--- a/coord/quota/reserve.go
+++ b/coord/quota/reserve.go
@@ -2,115 +2,117 @@
 
 import "time"
 
-// Times of a reserve.
+// Parameters of a reserve.
 const (
-	// fullShareFor is how long a VM that the ledger does not answer counts on a whole
-	// share: the ledger's VM counts a silent VM as part of the fleet for longer.
-	fullShareFor = 10 * time.Second
-	// regain is the part of what a reserve may hold that it regains in a window while the
-	// ledger answers. It begins with nothing: else a fleet whose VMs start anew again and again
-	// would gain by that.
-	regain = 0.5
+	// fullShareDuration is how long a VM without a response from the ledger may use a full share:
+	// the leader counts an unresponsive VM as part of the fleet for longer.
+	fullShareDuration = 10 * time.Second
+	// connectedRefillRatio is the fraction of its capacity that a reserve regains in a window while
+	// the ledger responds. A new reserve is empty; otherwise a fleet whose VMs restart repeatedly
+	// would gain units.
+	connectedRefillRatio = 0.5
 )
 
-// Reserve is the account of one VM for when the ledger does not answer.
+// Reserve is the account that one VM uses when the ledger does not respond.
 type Reserve struct {
 	accounts
-	vms int
-	// noticed is the silence after which the ledger's VM takes this one for away.
-	noticed time.Duration
-	// alone is since when the ledger does not answer, while phase is not answered.
-	alone time.Time
-	phase phase
+	fleetSize int
+	// suspectAfter is the time without a heartbeat after which the leader suspects this VM.
+	suspectAfter time.Duration
+	// disconnectedAt is when the ledger stopped responding, unless phase is connected.
+	disconnectedAt time.Time
+	phase          phase
 }
 
-// phase of a VM and its ledger.
+// phase is the state of the connection between a VM and the ledger.
 type phase int
 
 const (
-	answered phase = iota
-	// unnoticed: the ledger still hands out this VM's share.
-	unnoticed
-	// away: the ledger counts this VM as part of the fleet, and as silent.
-	away
-	// forgotten: the ledger may count without this VM.
-	forgotten
+	connected phase = iota
+	// undetected means that the ledger still hands out this VM's share.
+	undetected
+	// suspected means that the ledger counts this VM as part of the fleet, but as unresponsive.
+	suspected
+	// removed means that the ledger may no longer count this VM as part of the fleet.
+	removed
 )
 
-// NewReserve returns the reserve of a VM that does not know its fleet yet: it holds nothing.
-func NewReserve(room Tolerance) *Reserve {
-	r := &Reserve{accounts: newAccounts(room)}
-	r.accounts.terms = r.terms
+// NewReserve returns the reserve of a VM that does not know the size of its fleet yet. Its capacity
+// is 0.
+func NewReserve(tolerance Tolerance) *Reserve {
+	r := &Reserve{accounts: newAccounts(tolerance)}
+	r.accounts.bucketConfig = r.bucketConfig
 	return r
 }
 
-// SetFleetSize says how many VMs share the limits, 0 if it is not known, and after which silence the
-// ledger's VM takes one of them for away.
-func (r *Reserve) SetFleetSize(now time.Time, vms int, noticed time.Duration) {
-	if vms != r.vms || noticed != r.noticed {
-		r.vms, r.noticed = vms, noticed
+// SetFleetSize sets the number of VMs that share the limits, 0 if unknown, and the time without a
+// heartbeat after which the leader suspects one of them.
+func (r *Reserve) SetFleetSize(now time.Time, vms int, suspectAfter time.Duration) {
+	if vms != r.fleetSize || suspectAfter != r.suspectAfter {
+		r.fleetSize, r.suspectAfter = vms, suspectAfter
 		r.configure(now)
 	}
 }
 
-// SetDisconnected says whether the ledger is silent.
-func (r *Reserve) SetDisconnected(now time.Time, alone bool) {
-	if alone && r.phase == answered {
-		r.alone = now
+// SetDisconnected sets whether the ledger does not respond.
+func (r *Reserve) SetDisconnected(now time.Time, disconnected bool) {
+	if disconnected && r.phase == connected {
+		r.disconnectedAt = now
 	}
-	if next := r.phaseAt(now, alone); next != r.phase {
+	if next := r.phaseAt(now, disconnected); next != r.phase {
 		r.phase = next
 		r.configure(now)
 	}
 }
 
-func (r *Reserve) phaseAt(now time.Time, alone bool) phase {
-	switch silent := now.Sub(r.alone); {
-	case !alone:
-		return answered
-	case silent < r.noticed:
-		return unnoticed
-	case silent <= fullShareFor:
-		return away
+func (r *Reserve) phaseAt(now time.Time, disconnected bool) phase {
+	switch elapsed := now.Sub(r.disconnectedAt); {
+	case !disconnected:
+		return connected
+	case elapsed < r.suspectAfter:
+		return undetected
+	case elapsed <= fullShareDuration:
+		return suspected
 	default:
-		return forgotten
+		return removed
 	}
 }
 
-func (r *Reserve) terms(limit Limit) (rate, holds float64) {
-	if r.vms == 0 {
+func (r *Reserve) bucketConfig(limit Limit) (rate, capacity float64) {
+	if r.fleetSize == 0 {
 		return 0, 0
 	}
-	n := float64(r.vms)
-	holds = r.room.reservesHold(limit) / n
-	share := r.room.perSecond(limit) / n
+	n := float64(r.fleetSize)
+	capacity = r.tolerance.totalReserveCapacity(limit) / n
+	share := r.tolerance.fillRate(limit) / n
 	switch r.phase {
-	case answered:
-		return regain * holds / r.room.Window.Seconds(), holds
-	case unnoticed:
-		return share * r.room.beforeNoticed(r.noticed), holds
-	case away:
-		return share, holds
+	case connected:
+		return connectedRefillRatio * capacity / r.tolerance.Window.Seconds(), capacity
+	case undetected:
+		return share * r.tolerance.undetectedShare(r.suspectAfter), capacity
+	case suspected:
+		return share, capacity
 	default:
-		return share * r.room.parts().late, holds
+		return share * r.tolerance.allocation().removedShare, capacity
 	}
 }
 
-// Charge charges a request of a team while the ledger is silent. chance is drawn evenly from 0
-// to 1: where less is left than the request costs, it is let through as often as that is a
-// part of the cost, and nothing is left either way. In a large fleet one VM's part of a small
-// team's limit is a small part of one request.
-func (r *Reserve) Charge(now time.Time, team string, cost, chance float64) bool {
-	b := r.teams[team]
+// Charge charges a request to a team's account while the ledger does not respond. sample is a
+// uniform random number from 0 to 1. If fewer tokens are left than the request costs, the request
+// is admitted with the probability tokens / cost, and the bucket is empty in either case. This is
+// needed in large fleets, where one VM's share of a small team's limit is a fraction of one
+// request.
+func (r *Reserve) Charge(now time.Time, team string, cost, sample float64) bool {
+	b := r.buckets[team]
 	if b == nil {
 		return true
 	}
-	b.fill(now)
+	b.refill(now)
 	if b.tokens >= cost {
 		b.tokens -= cost
 		return true
 	}
-	allowed := chance*cost < b.tokens
+	allowed := sample*cost < b.tokens
 	b.tokens = 0
 	return allowed
 }
