--- a/coord/ratelimit/fleet_test.go
+++ b/coord/ratelimit/fleet_test.go
@@ -8,43 +8,45 @@
 	"gotest.tools/v3/assert"
 )
 
-// step is the time between two looks of the model.
-const step = 10 * time.Millisecond
+// tickInterval is the time between two steps of the simulation.
+const tickInterval = 10 * time.Millisecond
 
-// The rule that is checked: so many requests in a window, for a limit of so many a second.
+// window is the time over which the requests sent are compared with the number that allowed returns
+// for a limit in requests per second.
 const window = 4 * time.Second
 
 func allowed(perSecond float64) float64 { return 1.5*window.Seconds()*perSecond + 5 }
 
-// way is a way to keep a target's limit in a fleet.
-type way interface {
-	// may reports whether a VM may send a request now; acting is the VM that it asks, -1 if it has none.
-	may(now time.Time, vm, acting int, share float64) bool
-	// takeOver says that a VM begins to be asked.
-	takeOver(now time.Time, vm int)
+// strategy is a way to keep a target's limit in a fleet.
+type strategy interface {
+	// admit reports whether a VM may send a request now. leader is the leader of that VM, or -1 if
+	// it has none; share is the part of the fleet that the leader serves.
+	admit(now time.Time, vm, leader int, share float64) bool
+	// becomeLeader makes a VM a leader.
+	becomeLeader(now time.Time, vm int)
 }
 
-// paced is the way that is taken: one bucket at each VM that is asked.
-type paced struct {
+// leaderPacing is the strategy in use: one bucket at each leader.
+type leaderPacing struct {
 	pacers map[int]*Pacer
 	rate   float64
 }
 
-func (w *paced) takeOver(now time.Time, vm int) {
-	p := w.pacers[vm]
+func (s *leaderPacing) becomeLeader(now time.Time, vm int) {
+	p := s.pacers[vm]
 	if p == nil {
 		p = NewPacer()
-		w.pacers[vm] = p
+		s.pacers[vm] = p
 	}
-	p.SetRates(now, map[string]float64{"t": w.rate})
+	p.SetRates(now, map[string]float64{"t": s.rate})
 	p.Reset(now)
 }
 
-func (w *paced) may(now time.Time, _, acting int, share float64) bool {
-	if acting < 0 {
+func (s *leaderPacing) admit(now time.Time, _, leader int, share float64) bool {
+	if leader < 0 {
 		return false
 	}
-	p := w.pacers[acting]
+	p := s.pacers[leader]
 	p.SetFleetShare(now, share)
 	if !p.Ready(now, "t") {
 		return false
@@ -53,23 +55,23 @@
 	return true
 }
 
-// shared is a bucket at each VM, with its share of the limit.
-type shared struct {
+// staticShares has a bucket at each VM, with that VM's share of the limit.
+type staticShares struct {
 	buckets []*bucket
 }
 
-func newShared(now time.Time, vms int, rate float64) *shared {
-	w := &shared{}
+func newStaticShares(now time.Time, vms int, rate float64) *staticShares {
+	s := &staticShares{}
 	for range vms {
-		w.buckets = append(w.buckets, &bucket{at: now, rate: rate, fill: rate / float64(vms)})
+		s.buckets = append(s.buckets, &bucket{updatedAt: now, limit: rate, fillRate: rate / float64(vms)})
 	}
-	return w
+	return s
 }
 
-func (w *shared) takeOver(time.Time, int) {}
+func (s *staticShares) becomeLeader(time.Time, int) {}
 
-func (w *shared) may(now time.Time, vm, _ int, _ float64) bool {
-	b := w.buckets[vm]
+func (s *staticShares) admit(now time.Time, vm, _ int, _ float64) bool {
+	b := s.buckets[vm]
 	b.advance(now)
 	if b.tokens < 1 {
 		return false
@@ -78,48 +80,49 @@
 	return true
 }
 
-// reserved is paced, with a bucket at each VM for when it gets no verdict.
-type reserved struct {
-	paced
-	reserve *shared
+// pacingWithReserves is leaderPacing with a bucket at each VM for the time when it has no leader.
+type pacingWithReserves struct {
+	leaderPacing
+	reserve *staticShares
 }
 
-func (w *reserved) may(now time.Time, vm, acting int, share float64) bool {
-	if acting >= 0 {
-		return w.paced.may(now, vm, acting, share)
+func (s *pacingWithReserves) admit(now time.Time, vm, leader int, share float64) bool {
+	if leader >= 0 {
+		return s.leaderPacing.admit(now, vm, leader, share)
 	}
-	return w.reserve.may(now, vm, acting, share)
+	return s.reserve.admit(now, vm, leader, share)
 }
 
-// trial is one fleet and what befalls it.
-type trial struct {
-	vms     int
-	rate    float64
-	noticed time.Duration
-	rng     *rand.Rand
-	// asked is the VM that each VM asks, and share what that one believes that it hears.
-	asked []int
-	share map[int]float64
-	// silentUntil is until when nobody is asked.
-	silentUntil time.Time
+// simulation is one fleet and its faults.
+type simulation struct {
+	vms           int
+	rate          float64
+	detectionTime time.Duration
+	rng           *rand.Rand
+	// leaders holds the leader of each VM, fleetShare the part of the fleet that each leader
+	// assumes to serve.
+	leaders    []int
+	fleetShare map[int]float64
+	// noLeaderUntil is the time until which no VM has a leader.
+	noLeaderUntil time.Time
 }
 
-// play lets the VMs ask for far more than the limit, and returns the worst window, as a part of what is
-// allowed, and how much was sent, as a part of the limit.
-func (tr *trial) play(w way, d time.Duration) (worst, used float64) {
+// run lets the VMs request far more than the limit. It returns the worst window, as a fraction of
+// the allowed requests, and the number of requests sent, as a fraction of the limit.
+func (sim *simulation) run(s strategy, d time.Duration) (worst, used float64) {
 	var sent []time.Time
-	w.takeOver(start, 0)
+	s.becomeLeader(start, 0)
 	now := start
-	for ; now.Before(start.Add(d)); now = now.Add(step) {
-		tr.fault(now, w)
+	for ; now.Before(start.Add(d)); now = now.Add(tickInterval) {
+		sim.injectFaults(now, s)
 		for range 3 {
-			vm := tr.rng.IntN(tr.vms)
-			acting := tr.asked[vm]
-			if now.Before(tr.silentUntil) && acting >= 0 {
-				acting = -1
+			vm := sim.rng.IntN(sim.vms)
+			leader := sim.leaders[vm]
+			if now.Before(sim.noLeaderUntil) && leader >= 0 {
+				leader = -1
 			}
-			if w.may(now, vm, acting, tr.share[acting]) {
-				sent = append(sent, now.Add(time.Duration(tr.rng.Int64N(int64(100*time.Millisecond)))))
+			if s.admit(now, vm, leader, sim.fleetShare[leader]) {
+				sent = append(sent, now.Add(time.Duration(sim.rng.Int64N(int64(100*time.Millisecond)))))
 			}
 		}
 	}
@@ -130,81 +133,82 @@
 				n++
 			}
 		}
-		worst = max(worst, float64(n)/allowed(tr.rate))
+		worst = max(worst, float64(n)/allowed(sim.rate))
 	}
-	return worst, float64(len(sent)) / (tr.rate * d.Seconds())
+	return worst, float64(len(sent)) / (sim.rate * d.Seconds())
 }
 
-// fault ends the VM that is asked now and then, or cuts a third of the fleet off for some seconds.
-func (tr *trial) fault(now time.Time, w way) {
+// injectFaults periodically ends the leader, or cuts off a third of the fleet for some seconds.
+func (sim *simulation) injectFaults(now time.Time, s strategy) {
 	at := now.Sub(start)
 	switch {
-	case at%(10*time.Second) == 3*time.Second: // another VM is asked, the one before is gone
-		next := (tr.asked[0] + 1) % tr.vms
-		tr.silentUntil = now.Add(tr.noticed)
-		for i := range tr.asked {
-			tr.asked[i] = next
+	case at%(10*time.Second) == 3*time.Second: // another VM becomes the leader, the previous one is gone
+		next := (sim.leaders[0] + 1) % sim.vms
+		sim.noLeaderUntil = now.Add(sim.detectionTime)
+		for i := range sim.leaders {
+			sim.leaders[i] = next
 		}
-		tr.share = map[int]float64{next: 1}
-		w.takeOver(now, next)
-	case at%(10*time.Second) == 6*time.Second: // a third is cut off and asks one of its own at once
-		next := (tr.asked[0] + 1) % tr.vms
-		for i := range tr.vms / 3 {
-			tr.asked[i] = next
+		sim.fleetShare = map[int]float64{next: 1}
+		s.becomeLeader(now, next)
+	case at%(10*time.Second) == 6*time.Second: // a third is cut off and at once has a leader of its own
+		next := (sim.leaders[0] + 1) % sim.vms
+		for i := range sim.vms / 3 {
+			sim.leaders[i] = next
 		}
-		tr.share[next] = 1.0 / 3
-		w.takeOver(now, next)
-	case at%(10*time.Second) == 6*time.Second+tr.noticed.Truncate(step): // the rest notices that
-		tr.share[tr.asked[tr.vms-1]] = 2.0 / 3
-	case at%(10*time.Second) == 9*time.Second: // the cut heals
-		for i := range tr.asked {
-			tr.asked[i] = tr.asked[tr.vms-1]
+		sim.fleetShare[next] = 1.0 / 3
+		s.becomeLeader(now, next)
+	case at%(10*time.Second) == 6*time.Second+sim.detectionTime.Truncate(tickInterval): // the rest detects the partition
+		sim.fleetShare[sim.leaders[sim.vms-1]] = 2.0 / 3
+	case at%(10*time.Second) == 9*time.Second: // the partition ends
+		for i := range sim.leaders {
+			sim.leaders[i] = sim.leaders[sim.vms-1]
 		}
-		tr.share = map[int]float64{tr.asked[0]: 1}
+		sim.fleetShare = map[int]float64{sim.leaders[0]: 1}
 	}
 }
 
-func newTrial(vms int, rate float64, seed uint64) *trial {
-	tr := &trial{
-		vms: vms, rate: rate, noticed: 2100 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 1)),
-		asked: make([]int, vms), share: map[int]float64{0: 1},
+func newSimulation(vms int, rate float64, seed uint64) *simulation {
+	sim := &simulation{
+		vms: vms, rate: rate, detectionTime: 2100 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 1)),
+		leaders: make([]int, vms), fleetShare: map[int]float64{0: 1},
 	}
-	return tr
+	return sim
 }
 
-// TestNoWindowIsExceeded: with VMs that begin and end to be asked, and a third of the fleet cut off.
+// TestNoWindowIsExceeded checks that changes of the leader and a partition of a third of the fleet
+// do not exceed the limit in any window.
 func TestNoWindowIsExceeded(t *testing.T) {
 	for _, vms := range []int{3, 7, 72, 300} {
 		for _, rate := range []float64{0.2, 0.5, 1.1, 3, 8, 20} {
 			for seed := range uint64(3) {
-				tr := newTrial(vms, rate, seed)
-				worst, _ := tr.play(&paced{pacers: map[int]*Pacer{}, rate: rate}, 40*time.Second)
-				assert.Assert(t, worst <= 1, "%d VMs, %v a second, seed %d: %v of what is allowed", vms, rate, seed, worst)
+				sim := newSimulation(vms, rate, seed)
+				worst, _ := sim.run(&leaderPacing{pacers: map[int]*Pacer{}, rate: rate}, 40*time.Second)
+				assert.Assert(t, worst <= 1, "%d VMs, %v per second, seed %d: %v of the allowed requests", vms, rate, seed, worst)
 			}
 		}
 	}
 }
 
-// TestWays compares the way taken with shares and with reserves: shares exceed the limit once VMs have
-// been idle, or send next to nothing; reserves win little.
-func TestWays(t *testing.T) {
+// TestCompareStrategies compares the strategy in use with static shares and with reserves. Static
+// shares exceed the limit after VMs have been idle, or send next to nothing; reserves gain little.
+func TestCompareStrategies(t *testing.T) {
 	for _, vms := range []int{7, 72, 300} {
 		for _, rate := range []float64{1.1, 8} {
-			ways := []struct {
+			strategies := []struct {
 				name string
-				new  func() way
+				new  func() strategy
 			}{
-				{"paced by one VM", func() way { return &paced{pacers: map[int]*Pacer{}, rate: rate} }},
-				{"with reserves", func() way {
-					return &reserved{paced{map[int]*Pacer{}, rate}, newShared(start, vms, rate)}
+				{"paced by one VM", func() strategy { return &leaderPacing{pacers: map[int]*Pacer{}, rate: rate} }},
+				{"with reserves", func() strategy {
+					return &pacingWithReserves{leaderPacing{map[int]*Pacer{}, rate}, newStaticShares(start, vms, rate)}
 				}},
-				{"shares", func() way { return newShared(start, vms, rate) }},
-				{"shares, after an idle time", func() way { return newShared(start.Add(-10*time.Minute), vms, rate) }},
+				{"shares", func() strategy { return newStaticShares(start, vms, rate) }},
+				{"shares, after an idle time", func() strategy { return newStaticShares(start.Add(-10*time.Minute), vms, rate) }},
 			}
-			for _, w := range ways {
-				worst, used := newTrial(vms, rate, 1).play(w.new(), 40*time.Second)
-				t.Logf("%d VMs, %.1f a second, %s: worst window %.2f of what is allowed, %.2f of the limit used", vms, rate, w.name, worst, used)
-				if w.name == "paced by one VM" {
+			for _, s := range strategies {
+				worst, used := newSimulation(vms, rate, 1).run(s.new(), 40*time.Second)
+				t.Logf("%d VMs, %.1f per second, %s: worst window %.2f of the allowed requests, %.2f of the limit used", vms, rate, s.name, worst, used)
+				if s.name == "paced by one VM" {
 					assert.Check(t, worst <= 1 && used > 0.5, "%v %v", worst, used)
 				}
 			}
--- a/coord/ratelimit/pacer.go
+++ b/coord/ratelimit/pacer.go
@@ -5,64 +5,65 @@
 )
 
 const (
-	// burstTime is the time of a target's limit that a bucket holds beside one request: requests that
-	// wait are looked at every 20 ms.
+	// burstTime is the time for which a bucket accumulates tokens in addition to one request.
+	// Waiting requests are examined only every 20 ms.
 	burstTime = 100 * time.Millisecond
-	// MinRate is the lowest rate at which a target gets requests, a second, whatever it names: one
-	// that got none could not say that its limit has ended.
+	// MinRate is the minimum rate of requests to a target, in requests per second, whatever limit
+	// the target announces. A target without requests could not report that its limit has ended.
 	MinRate = 0.2
-	// probeAfter is how long a limited target goes without a request before it is preferred for one.
+	// probeAfter is the time without a request after which a limited target is preferred for the
+	// next one.
 	probeAfter = 2 * time.Second
 )
 
-// bucket has the requests that a target may get now.
+// bucket is the token bucket of one target; each request takes one token.
 type bucket struct {
-	tokens float64
-	at     time.Time
-	// rate is the target's limit and fill what the bucket gains, both a second.
-	rate, fill float64
-	// taken is when the target got a request last, or the bucket began.
-	taken time.Time
+	tokens    float64
+	updatedAt time.Time
+	// limit is the target's limit and fillRate the rate at which tokens are added, both per second.
+	limit, fillRate float64
+	// lastRequest is when the target last got a request, or when the bucket was created.
+	lastRequest time.Time
 }
 
 func (b *bucket) advance(now time.Time) {
-	if d := now.Sub(b.at); d > 0 {
-		b.tokens = min(b.tokens+d.Seconds()*b.fill, b.capacity())
-		b.at = now
+	if d := now.Sub(b.updatedAt); d > 0 {
+		b.tokens = min(b.tokens+d.Seconds()*b.fillRate, b.capacity())
+		b.updatedAt = now
 	}
 }
 
-func (b *bucket) capacity() float64 { return 1 + burstTime.Seconds()*b.fill }
+func (b *bucket) capacity() float64 { return 1 + burstTime.Seconds()*b.fillRate }
 
-// Pacer spaces requests to limited targets.
+// Pacer spaces requests to targets that have a rate limit.
 type Pacer struct {
-	buckets map[string]*bucket
-	share   float64
+	buckets    map[string]*bucket
+	fleetShare float64
 }
 
-// NewPacer returns a Pacer of a fleet that it hears whole.
-func NewPacer() *Pacer { return &Pacer{buckets: map[string]*bucket{}, share: 1} }
+// NewPacer returns a Pacer that serves the whole fleet.
+func NewPacer() *Pacer { return &Pacer{buckets: map[string]*bucket{}, fleetShare: 1} }
 
 // Reset empties all buckets.
 func (p *Pacer) Reset(now time.Time) {
 	for _, b := range p.buckets {
-		b.tokens, b.at = 0, now
+		b.tokens, b.updatedAt = 0, now
 	}
 }
 
-// SetFleetShare says which part of the fleet asks this VM.
+// SetFleetShare sets the part of the fleet that this VM serves as leader.
 func (p *Pacer) SetFleetShare(now time.Time, share float64) {
-	if share == p.share {
+	if share == p.fleetShare {
 		return
 	}
-	p.share = share
+	p.fleetShare = share
 	for _, b := range p.buckets {
 		b.advance(now)
-		b.fill = share * b.rate
+		b.fillRate = share * b.limit
 	}
 }
 
-// SetRates replaces the limits, in requests a second by target.
+// SetRates replaces the limits, in requests per second by target.
 func (p *Pacer) SetRates(now time.Time, rates map[string]float64) {
 	for id, b := range p.buckets {
 		if _, limited := rates[id]; !limited {
@@ -74,11 +75,11 @@
 	for id, rate := range rates {
 		b := p.buckets[id]
 		if b == nil {
-			b = &bucket{at: now, taken: now}
+			b = &bucket{updatedAt: now, lastRequest: now}
 			p.buckets[id] = b
 		}
-		b.rate = max(rate, MinRate)
-		b.fill = p.share * b.rate
+		b.limit = max(rate, MinRate)
+		b.fillRate = p.fleetShare * b.limit
 		b.tokens = min(b.tokens, b.capacity())
 	}
 }
@@ -93,44 +94,44 @@
 	return b.tokens >= 1
 }
 
-// Consume takes that a target gets a request.
+// Consume records that a target gets a request.
 func (p *Pacer) Consume(now time.Time, target string) {
 	if b := p.buckets[target]; b != nil {
 		b.advance(now)
 		b.tokens--
-		b.taken = now
+		b.lastRequest = now
 	}
 }
 
-// ProbeDue reports whether a limited target is to get the next request that may go there: it has had none
-// for a while, and only an answer can tell that its limit has ended.
+// ProbeDue reports whether the next possible request should go to a limited target: it has had no
+// request for probeAfter, and only a response can show that its limit has ended.
 func (p *Pacer) ProbeDue(now time.Time, target string) bool {
 	b := p.buckets[target]
-	return b != nil && now.Sub(b.taken) >= probeAfter && p.Ready(now, target)
+	return b != nil && now.Sub(b.lastRequest) >= probeAfter && p.Ready(now, target)
 }
 
-// Rate is how many requests a second this VM may send to a target; limited is false where it has no
-// limit.
+// Rate returns the number of requests per second that this VM may send to a target. limited is
+// false if the target has no limit.
 func (p *Pacer) Rate(target string) (perSecond float64, limited bool) {
 	b := p.buckets[target]
 	if b == nil {
 		return 0, false
 	}
-	return b.fill, true
+	return b.fillRate, true
 }
 
-// Wait is the time until a target may get a request.
+// Wait returns the time until a target may get a request.
 func (p *Pacer) Wait(now time.Time, target string) time.Duration {
 	b := p.buckets[target]
 	if b == nil {
 		return 0
 	}
 	b.advance(now)
-	return timeFor(1-b.tokens, b.fill)
+	return cappedDurationFor(1-b.tokens, b.fillRate)
 }
 
-// timeFor is how long so many requests take at a rate, MaxWait at most.
-func timeFor(requests, perSecond float64) time.Duration {
+// cappedDurationFor returns the time that a number of requests takes at a rate, at most MaxWait.
+func cappedDurationFor(requests, perSecond float64) time.Duration {
 	if requests <= 0 {
 		return 0
 	}
@@ -140,29 +141,30 @@
 	return min(DurationFor(requests, perSecond), MaxWait)
 }
 
-// DurationFor is how long so many requests take at a rate above 0, however long that is.
+// DurationFor returns the time that a number of requests takes at a rate above 0, without an upper
+// bound.
 func DurationFor(requests, perSecond float64) time.Duration {
 	return time.Duration(requests / perSecond * float64(time.Second))
 }
 
-// MaxWait is the longest wait that is told: nobody waits for longer.
+// MaxWait is the longest retry delay; callers do not wait longer.
 const MaxWait = 10 * time.Second
 
-// RetryDelays spreads the returns of refused callers over the time in which they can be served.
+// RetryDelays spreads the retries of refused callers over the time in which they can be served.
 type RetryDelays struct {
-	at time.Time
-	// promised are the callers that were told to come back and have not yet.
+	updatedAt time.Time
+	// promised is the number of callers that were given a retry delay and have not returned yet.
 	promised float64
 }
 
-// Next is when one more caller is to come back, where so many requests wait and so many are served a
-// second.
+// Next returns the retry delay of one more caller, given the number of waiting requests and the
+// rate at which requests are served.
 func (r *RetryDelays) Next(now time.Time, waiting int, perSecond float64) time.Duration {
-	if d := now.Sub(r.at); d > 0 {
+	if d := now.Sub(r.updatedAt); d > 0 {
 		r.promised = max(r.promised-d.Seconds()*perSecond, 0)
-		r.at = now
+		r.updatedAt = now
 	}
-	wait := timeFor(float64(waiting)+r.promised+1, perSecond)
+	wait := cappedDurationFor(float64(waiting)+r.promised+1, perSecond)
 	if wait < MaxWait {
 		r.promised++
 	}
--- a/coord/ratelimit/table.go
+++ b/coord/ratelimit/table.go
@@ -1,15 +1,17 @@
-// Package ratelimit keeps requests to targets within the rates that the targets name in their answers:
-// so many requests a second from all VMs together, for as long as the answers say so.
+// Package ratelimit keeps requests to targets within the rate limits that the targets announce in
+// their responses: a number of requests per second from all VMs together, for as long as the
+// responses announce it.
 //
-// Table holds what targets said, at each VM. Pacer spaces requests at the VM that is asked for targets,
-// which sees all that it places: one bucket a target, that fills with the limit and begins empty, since
-// nobody knows what the VM before gave out. Where VMs are cut off from each other, each part of the
-// fleet that has such a VM gets the part of the limit that it is of the fleet. A VM that gets no verdict
-// sends nothing to a limited target. Returns spreads the callers that are refused.
+// Table holds the announced limits at each VM. Pacer spaces requests at the leader, which sees all
+// requests that it places. It has one token bucket per target, which fills with the limit and
+// begins empty, because the leader does not know how much the previous leader has spent. In a
+// partitioned fleet, each partition with a leader gets a part of the limit that equals its part of
+// the fleet. A VM without decisions from a leader sends nothing to a limited target.
+// RetryDelays spreads the retries of refused callers.
 //
-// With a limit of N a second the bucket holds 1 + burstTime x N. In any window of W seconds the fleet
-// sends W x N and what the bucket held, and N times the overlap more where two VMs are asked at once
-// until one of them notices.
+// With a limit of N per second the bucket holds 1 + burstTime x N requests. In any window of W
+// seconds the fleet sends at most W x N requests and the content of the bucket, and N times the
+// overlap more where two VMs act as leaders at once until one of them detects it.
 //
 // The types have no clock and do no I/O, and are not safe for concurrent use.
 package ratelimit
@@ -20,28 +22,29 @@
 	"time"
 )
 
-// Limit is a target's limit as this VM knows it.
+// Limit is the rate limit of a target as known to this VM.
 type Limit struct {
 	PerSecond float64
-	// Stamp changes with each answer that confirms or lowers the limit; 0: there is no limit.
+	// Stamp changes with each response that confirms or changes the limit; 0 means that there is
+	// no limit.
 	Stamp uint64
-	// Since is when this VM first heard of it.
+	// Since is when this VM first learned of the limit.
 	Since time.Time
 }
 
-// Table holds the limits of targets by id.
+// Table holds the limits of targets by ID.
 type Table struct {
 	limits map[string]Limit
 	stamp  uint64
 }
 
-// NewTable returns an empty Table. Its stamps are above the given one.
+// NewTable returns an empty Table whose stamps are above the given one.
 func NewTable(stamp uint64) *Table { return &Table{limits: map[string]Limit{}, stamp: stamp} }
 
-// Limit returns a target's limit.
+// Limit returns the limit of a target.
 func (t *Table) Limit(target string) Limit { return t.limits[target] }
 
-// Rates returns the limits by target, in requests a second.
+// Rates returns the limits by target, in requests per second.
 func (t *Table) Rates() map[string]float64 {
 	out := make(map[string]float64, len(t.limits))
 	for id, l := range t.limits {
@@ -50,9 +53,10 @@
 	return out
 }
 
-// ObserveLimit takes an answer that names a limit, to a request that was placed when Stamp was the given one.
-// Answers may overtake each other, so a higher limit counts only where none as low has been heard of
-// since then. It reports whether the limit changed.
+// ObserveLimit records the limit in a response to a request that was placed when the limit had the
+// given stamp. Responses may overtake each other, so a limit above the known one counts only if the
+// known one has not been confirmed or changed since the request was placed. ObserveLimit reports
+// whether the limit changed.
 func (t *Table) ObserveLimit(now time.Time, target string, perSecond float64, stamp uint64) (changed bool) {
 	l, known := t.limits[target]
 	if known && perSecond > l.PerSecond && stamp != l.Stamp {
@@ -68,7 +72,8 @@
 	return changed
 }
 
-// ObserveNoLimit takes an answer that names no limit, as Name does.
+// ObserveNoLimit records a response without a limit. The known limit ends only if it has not been
+// confirmed or changed since the request was placed. ObserveNoLimit reports whether it ended.
 func (t *Table) ObserveNoLimit(target string, stamp uint64) (changed bool) {
 	l, known := t.limits[target]
 	if !known || stamp != l.Stamp {
@@ -78,7 +83,7 @@
 	return true
 }
 
-// ApplyUpdate takes the word of the VM that paces requests.
+// ApplyUpdate applies a limit, or its end, as reported by the leader.
 func (t *Table) ApplyUpdate(now time.Time, target string, perSecond float64, ended bool) {
 	if ended {
 		delete(t.limits, target)
@@ -90,10 +95,10 @@
 // Empty reports whether no target is limited.
 func (t *Table) Empty() bool { return len(t.limits) == 0 }
 
-// Targets lists the limited targets.
+// Targets returns the IDs of the limited targets in sorted order.
 func (t *Table) Targets() []string { return slices.Sorted(maps.Keys(t.limits)) }
 
-// Retain forgets the limits of targets that are not to be kept.
+// Retain removes the limits of the targets for which keep returns false.
 func (t *Table) Retain(keep func(target string) bool) {
 	maps.DeleteFunc(t.limits, func(id string, _ Limit) bool { return !keep(id) })
 }
--- a/coord/ratelimit/table_test.go
+++ b/coord/ratelimit/table_test.go
@@ -9,30 +9,31 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestAnswersThatOvertakeEachOther: a higher limit, or its end, counts only where the request was placed
-// after the last word of the lower one.
-func TestAnswersThatOvertakeEachOther(t *testing.T) {
+// TestReorderedResponses checks that a higher limit, or the end of a limit, counts only if the
+// request was placed after the last response with the lower limit.
+func TestReorderedResponses(t *testing.T) {
 	tab := NewTable(1000)
 	assert.Assert(t, tab.ObserveLimit(start, "a", 2, 0))
 	first := tab.Limit("a").Stamp
 	assert.Assert(t, first > 1000)
-	assert.Assert(t, tab.ObserveLimit(start, "a", 1, 0), "a lower one counts at once")
-	assert.Assert(t, !tab.ObserveLimit(start, "a", 2, first), "placed before the lower one was heard of")
+	assert.Assert(t, tab.ObserveLimit(start, "a", 1, 0), "a lower limit counts at once")
+	assert.Assert(t, !tab.ObserveLimit(start, "a", 2, first), "placed before the lower limit was observed")
 	assert.Assert(t, !tab.ObserveNoLimit("a", first))
 	assert.Equal(t, tab.Limit("a").PerSecond, 1.0)
 
 	assert.Assert(t, tab.ObserveLimit(start, "a", 3, tab.Limit("a").Stamp))
 	assert.Equal(t, tab.Limit("a").PerSecond, 3.0)
 	before := tab.Limit("a").Stamp
-	assert.Assert(t, !tab.ObserveLimit(start, "a", 3, before), "it is confirmed")
+	assert.Assert(t, !tab.ObserveLimit(start, "a", 3, before), "the limit is confirmed, not changed")
 	assert.Assert(t, !tab.ObserveNoLimit("a", before), "placed before it was confirmed")
 	assert.Assert(t, tab.ObserveNoLimit("a", tab.Limit("a").Stamp))
 	assert.Equal(t, tab.Limit("a").Stamp, uint64(0))
 	assert.Assert(t, !tab.ObserveNoLimit("a", 0))
 }
 
-// TestAnswersWithoutALimitOfUnknownRequests end none: nobody knows when they were placed.
-func TestAnswersWithoutALimitOfUnknownRequests(t *testing.T) {
+// TestResponsesToUnknownRequestsKeepLimit checks that responses without a known stamp neither raise
+// nor end a limit, because it is unknown when their requests were placed.
+func TestResponsesToUnknownRequestsKeepLimit(t *testing.T) {
 	tab := NewTable(0)
 	tab.ObserveLimit(start, "a", 2, 0)
 	assert.Assert(t, !tab.ObserveNoLimit("a", 0))
