--- /dev/null
+++ b/coord/scheduler/loadsim_engine_test.go
@@ -0,0 +1,173 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"github.com/junctionfold/junctionfold/coord"
+)
+
+// simEngine is a simulated engine.
+type simEngine struct {
+	id             string
+	slots          map[coord.AdapterRef]bool // whether the adapter is loaded
+	cachedAdapters []coord.AdapterRef        // least recently held first
+	readingUntil   time.Time                 // end of prompt reading
+	unresponsive   bool
+	orderCount     uint64
+}
+
+// simLoad is a load in flight; remaining is the remaining work at full speed.
+type simLoad struct {
+	engine    *simEngine
+	ref       coord.AdapterRef
+	remaining time.Duration
+	fromStore bool
+}
+
+// advanceLoads advances the loads by 1 ms.
+func (sim *loadSim) advanceLoads() {
+	n := 0
+	for _, l := range sim.loads {
+		if l.fromStore {
+			n++
+		}
+	}
+	speed := min(1, float64(sim.deployment.storeConcurrency)/float64(max(n, 1)))
+	sim.loads = slices.DeleteFunc(sim.loads, func(l *simLoad) bool {
+		if l.engine.unresponsive {
+			return true
+		}
+		if l.fromStore {
+			l.remaining -= time.Duration(speed * float64(time.Millisecond))
+		} else {
+			l.remaining -= time.Millisecond
+		}
+		if l.remaining > 0 {
+			return false
+		}
+		l.engine.slots[l.ref] = true
+		l.engine.addCached(l.ref, sim.deployment.cachedAdapters)
+		return true
+	})
+}
+
+func (e *simEngine) addCached(ref coord.AdapterRef, limit int) {
+	e.cachedAdapters = slices.DeleteFunc(e.cachedAdapters, func(r coord.AdapterRef) bool { return r == ref })
+	e.cachedAdapters = append(e.cachedAdapters, ref)
+	if len(e.cachedAdapters) > limit {
+		e.cachedAdapters = e.cachedAdapters[1:]
+	}
+}
+
+func (sim *loadSim) sendReport(e *simEngine) {
+	r := Report{Resident: []ResidentItem{{Ref: base}}, OrderCount: e.orderCount}
+	for ref, loaded := range e.slots {
+		if loaded {
+			r.Resident = append(r.Resident, ResidentItem{Ref: ref})
+		} else {
+			r.Pending = append(r.Pending, ref)
+		}
+	}
+	sim.execute(sim.s.HandleReport(sim.now, e.id, r, !e.unresponsive))
+}
+
+func (sim *loadSim) answerOrder(a Action, result OrderResult) {
+	sim.schedule(messageDelay, func() { sim.execute(sim.s.OrderAnswered(sim.now, a.Target, a.Kind == ActUnload, a.Ref, result)) })
+}
+
+func (sim *loadSim) handleLoadOrder(a Action, e *simEngine) {
+	if e.unresponsive {
+		sim.schedule(1500*time.Millisecond, func() { sim.answerOrder(a, OrderUnknown) })
+		return
+	}
+	pending := 0
+	for _, loaded := range e.slots {
+		if !loaded {
+			pending++
+		}
+	}
+	if pending >= maxInTransit || len(e.slots) >= sim.deployment.slots {
+		sim.result.rejectedOrders++
+		sim.answerOrder(a, OrderRejected)
+		return
+	}
+	e.orderCount++
+	l := &simLoad{engine: e, ref: a.Ref, remaining: sim.deployment.loadTime, fromStore: !slices.Contains(e.cachedAdapters, a.Ref)}
+	if l.fromStore {
+		sim.result.storeLoads++
+	} else {
+		l.remaining = sim.deployment.loadTime / 10
+	}
+	e.slots[a.Ref] = false
+	sim.loads = append(sim.loads, l)
+	sim.answerOrder(a, OrderAccepted)
+}
+
+func (sim *loadSim) handleUnloadOrder(a Action, e *simEngine) {
+	e.orderCount++
+	delete(e.slots, a.Ref)
+	sim.answerOrder(a, OrderAlreadyApplied)
+}
+
+// startRequest delivers a granted request to its engine.
+func (sim *loadSim) startRequest(a Action, e *simEngine) {
+	r := sim.openRequests[a.Key]
+	loaded, held := e.slots[a.Ref]
+	switch {
+	case e.unresponsive:
+		sim.schedule(time.Second, func() { sim.resubmit(a, r, EndedUnreachable) })
+		return
+	case !held || !loaded:
+		sim.resubmit(a, r, EndedMisrouted)
+		return
+	}
+	readTime := time.Duration(float64(r.promptTokens) / sim.deployment.promptTokensPerMs * float64(time.Millisecond))
+	if e.readingUntil.Before(sim.now) {
+		e.readingUntil = sim.now
+	}
+	e.readingUntil = e.readingUntil.Add(readTime)
+	sim.schedule(e.readingUntil.Sub(sim.now)+12*time.Millisecond, func() { sim.handleFirstEvent(a, e, r) })
+}
+
+func (sim *loadSim) resubmit(a Action, r *simRequest, ending Ending) {
+	sim.result.retries++
+	sim.execute(sim.s.Done(sim.now, a.Key, ending))
+	sim.lastTicket++
+	key := Key{VM: "vm", Ticket: sim.lastTicket}
+	sim.openRequests[key] = r
+	delete(sim.openRequests, a.Key)
+	sim.submit(key, r, []string{a.Target})
+}
+
+func (sim *loadSim) handleFirstEvent(a Action, e *simEngine, r *simRequest) {
+	if e.unresponsive {
+		sim.failRequest(a, r)
+		return
+	}
+	sim.s.FirstEvent(sim.now, a.Key)
+	o := sim.result.byKind[r.kind.name]
+	switch elapsed := sim.now.Sub(r.submittedAt); {
+	case !r.retriedAt.IsZero() && sim.now.Sub(r.retriedAt) <= r.kind.objective:
+		o.retriedInTime++
+	case elapsed <= r.kind.objective:
+		o.inTime++
+		second := min(int(r.submittedAt.Sub(start.Add(3*time.Second))/time.Second), len(sim.result.perSecond)-1)
+		sim.result.perSecond[second][0]++
+	default:
+		o.late++
+	}
+	// Generating a token takes longer while other prompts are read: 1.3 times here.
+	sim.schedule(time.Duration(1.3*float64(r.outputTokens)*float64(sim.deployment.tokenTime)), func() {
+		if _, open := sim.openRequests[a.Key]; open {
+			delete(sim.openRequests, a.Key)
+			sim.execute(sim.s.Done(sim.now, a.Key, EndedOK))
+		}
+	})
+}
+
+func (sim *loadSim) failRequest(a Action, r *simRequest) {
+	delete(sim.openRequests, a.Key)
+	sim.result.byKind[r.kind.name].failed++
+	sim.execute(sim.s.Done(sim.now, a.Key, EndedFailed))
+}
--- /dev/null
+++ b/coord/scheduler/replicas.go
@@ -0,0 +1,164 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/junctionfold/junctionfold/coord"
+	"github.com/junctionfold/junctionfold/coord/rendezvous"
+)
+
+// Parameters for choosing where to load another replica of an adapter.
+const (
+	// replicateAboveDelay is the expected delay at an adapter's replicas above which another
+	// replica is considered.
+	replicateAboveDelay = 150 * time.Millisecond
+	// replicaDelayRatioMax is the highest ratio of the delay at a new replica to the delay at the
+	// present ones for which the new replica is loaded.
+	replicaDelayRatioMax = 0.6
+	// replicateMinHeat is the adapter's minimum heat, in recent requests, for which another replica
+	// is loaded.
+	replicateMinHeat = 4.0
+	// evictCostPerRequest is the cost of evicting an adapter for each recent request for it.
+	evictCostPerRequest = 40 * time.Millisecond
+	// targetCostPerRequest is the cost of loading an adapter at a target for each recent request
+	// granted there: the target's adapters will be requested again.
+	targetCostPerRequest = 3 * time.Millisecond
+	// tieBreakSpan is the range of the hash that breaks ties between equal targets. All VMs compute
+	// the same hash.
+	tieBreakSpan = 8 * time.Millisecond
+	// maxInTransit is the maximum number of adapters that one engine loads or unloads at once.
+	maxInTransit = 4
+)
+
+// loadFirstReplica starts a load of r's adapter, which no target holds.
+func (s *Scheduler) loadFirstReplica(now time.Time, r *Request) {
+	if !s.holdsLease() || s.searchesLeft <= 0 {
+		return
+	}
+	s.searchesLeft--
+	if t, _ := s.cheapestLoadTarget(now, r); t != nil {
+		s.startLoad(now, t, r.Ref)
+		t.addPendingPrompt(r)
+	}
+}
+
+// replicate starts a load of r's adapter at one more target if the present replicas have a long
+// delay and further requests for the adapter are likely. r itself need not wait for the load. While
+// load capacity is scarce, only an adapter whose replicas make its requests miss their objective
+// gets another replica, in the next round.
+func (s *Scheduler) replicate(now time.Time, r *Request, replicaDelay time.Duration) {
+	switch {
+	case !s.holdsLease() || s.heatOf(now, r.Ref) < replicateMinHeat || s.isLoadingAnywhere(r.Ref):
+	case 2*s.storeLoads < s.loadLimit.Max():
+		s.loadExtraReplica(now, r, replicaDelay)
+	case replicaDelay > r.Objective:
+		s.overloaded[r.Ref] = overloadedAdapter{request: r, delay: replicaDelay, seenAt: now}
+	}
+}
+
+func (s *Scheduler) loadExtraReplica(now time.Time, r *Request, replicaDelay time.Duration) {
+	t, delay := s.cheapestLoadTarget(now, r)
+	if t != nil && float64(delay-s.expectedLoadTime(t, r.Ref)) < replicaDelayRatioMax*float64(replicaDelay) {
+		s.startLoad(now, t, r.Ref)
+	}
+}
+
+// overloadedAdapter is an adapter whose replicas made a request late while load capacity was
+// scarce.
+type overloadedAdapter struct {
+	request *Request
+	delay   time.Duration
+	seenAt  time.Time
+}
+
+// overloadedTTL is how long an adapter counts as overloaded after such a request: the time of a few
+// requests for a hot adapter.
+const overloadedTTL = 200 * time.Millisecond
+
+// replicateOverloaded starts one load for each overloaded adapter, hottest first. Such a load
+// serves more requests than a load of an adapter for which a single request waits.
+func (s *Scheduler) replicateOverloaded(now time.Time) {
+	if !s.holdsLease() {
+		clear(s.overloaded)
+		return
+	}
+	var candidates []overloadedAdapter
+	for ref, c := range s.overloaded {
+		if now.Sub(c.seenAt) > overloadedTTL || s.isLoadingAnywhere(ref) {
+			delete(s.overloaded, ref)
+			continue
+		}
+		candidates = append(candidates, c)
+	}
+	slices.SortFunc(candidates, func(a, b overloadedAdapter) int {
+		x, y := s.heatOf(now, a.request.Ref), s.heatOf(now, b.request.Ref)
+		return cmp.Or(cmp.Compare(y, x), strings.Compare(a.request.Ref.String(), b.request.Ref.String()))
+	})
+	for _, c := range candidates {
+		if s.storeLoads >= s.loadLimit.Max() {
+			return
+		}
+		s.loadExtraReplica(now, c.request, c.delay)
+	}
+}
+
+func (s *Scheduler) isLoadingAnywhere(ref coord.AdapterRef) bool {
+	return slices.ContainsFunc(s.replicas[ref], func(t *target) bool { return t.ready && t.slots[ref].state == loading })
+}
+
+// cheapestLoadTarget returns the target where loading the adapter costs least, or nil if there is
+// none, and the expected delay there including the load.
+func (s *Scheduler) cheapestLoadTarget(now time.Time, r *Request) (best *target, delay time.Duration) {
+	var lowestCost time.Duration
+	loadLimitReached := s.storeLoads >= s.loadLimit.Max()
+	if loadLimitReached {
+		s.loadLimit.ObserveFull()
+	}
+	key := rendezvous.Hash(r.Ref.String())
+	for _, id := range s.targetIDs {
+		t := s.targets[id]
+		if loadLimitReached && !t.isCached(r.Ref) || !s.usable(now, t, r) || !t.canLoad(r.Ref) {
+			continue
+		}
+		d := s.expectedDelay(now, t, r) + s.expectedLoadTime(t, r.Ref)
+		cost := d + time.Duration(t.recentGrants.valueAt(now)*float64(targetCostPerRequest))
+		cost += s.speed.PrefillTime(t.pendingPromptTokens()) + s.rateCost(t)
+		cost += time.Duration(rendezvous.Weight(t.idHash, key) % uint64(tieBreakSpan))
+		if best != nil && cost >= lowestCost {
+			continue
+		}
+		evictionCost, ok := s.evictCost(now, t)
+		if cost += evictionCost; !ok || best != nil && cost >= lowestCost {
+			continue
+		}
+		best, delay, lowestCost = t, d, cost
+	}
+	return best, delay
+}
+
+// evictCost returns the cost of freeing an adapter slot at t; ok is false if no slot can be freed.
+func (s *Scheduler) evictCost(now time.Time, t *target) (cost time.Duration, ok bool) {
+	if len(t.slots) < s.cfg.AdapterSlots {
+		return 0, true
+	}
+	_, h, ok := s.victim(now, t)
+	return time.Duration(h * float64(evictCostPerRequest)), ok
+}
+
+// canLoad reports whether t can be ordered to load an adapter that it does not hold.
+func (t *target) canLoad(ref coord.AdapterRef) bool {
+	return t.canBeOrdered() && t.models[ref.Model] && t.slots[ref] == nil && t.inTransit() < maxInTransit
+}
+
+func (t *target) inTransit() int {
+	n := 0
+	for _, sl := range t.slots {
+		if sl.state != resident {
+			n++
+		}
+	}
+	return n
+}
