--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,11 @@
-// Package clock tells a time that goes on while a VM is suspended.
+// Package clock provides a clock that advances while a VM is suspended.
 //
-// The clock that time.Now measures by stands still in a suspension, which a VM notices by nothing else:
-// its lease, the age of its copy of the store and a target's rest would all look as young afterwards as
-// they were before. The time of day goes on, but it may jump. The kernel's time since its boot does
-// neither; it costs a system call, so Now goes by what the last call of Refresh found, and Refresh is
-// to be called before each decision that must not rest on something too old.
+// The monotonic clock behind time.Now stops during a suspension, and a VM has no other sign of one:
+// its lease, the age of its copy of the store and the backoff that a target requested would all
+// look as young afterwards as before. Wall-clock time advances, but may jump. The kernel's time
+// since boot neither stops nor jumps, but reading it costs a system call. Now therefore uses the
+// result of the last Refresh, and Refresh must be called before each decision that must not rest on
+// stale data.
 package clock
 
 import (
@@ -14,15 +15,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Source is what a Clock reads.
+// Source provides the readings of a Clock.
 type Source struct {
-	// Monotonic is a clock that may stand still in a suspension.
+	// Monotonic reads a clock that may stop during a suspension.
 	Monotonic func() time.Time
-	// BootTime is the time since the machine's boot, suspensions included.
+	// BootTime returns the time since the machine's boot, suspensions included.
 	BootTime func() (time.Duration, error)
 }
 
-// System reads the machine's clocks.
+// System returns the clocks of the machine.
 func System() Source { return Source{Monotonic: time.Now, BootTime: bootTime} }
 
 func bootTime() (time.Duration, error) {
@@ -33,49 +34,50 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Clock is safe for concurrent use. Its times must not be compared with those of time.Now.
+// Clock measures time across suspensions. It is safe for concurrent use. Its times must not be
+// compared with those of time.Now.
 type Clock struct {
-	source Source
-	steady time.Time
-	boot   time.Duration
-	// blind says that the machine has no time since its boot.
-	blind bool
-	// suspended is the time in suspensions that is known of, in ns.
+	source         Source
+	startMonotonic time.Time
+	startBootTime  time.Duration
+	// noBootTime is set if the machine does not provide the time since its boot.
+	noBootTime bool
+	// suspended is the total duration of the suspensions detected so far, in ns.
 	suspended atomic.Int64
 }
 
-// New returns a Clock that begins now. Where the time since the boot cannot be read it does not see
-// suspensions, and err says why.
+// New returns a Clock that starts now. If the time since boot cannot be read, the Clock does not
+// detect suspensions, and err holds the reason.
 func New(source Source) (c *Clock, err error) {
-	c = &Clock{source: source, steady: source.Monotonic()}
-	c.boot, err = source.BootTime()
-	c.blind = err != nil
+	c = &Clock{source: source, startMonotonic: source.Monotonic()}
+	c.startBootTime, err = source.BootTime()
+	c.noBootTime = err != nil
 	return c, err
 }
 
-// Now is the time, with the suspensions that Refresh has seen.
+// Now returns the time, including the suspensions that Refresh has detected.
 func (c *Clock) Now() time.Time {
 	return c.source.Monotonic().Add(time.Duration(c.suspended.Load()))
 }
 
-// Refresh looks for suspensions, and returns for how long this VM was suspended since the last look.
-// It finds at most what there was: the time that passes between the two readings is on the other side.
+// Refresh detects suspensions and returns how long this VM was suspended since the last call. It
+// never overestimates: a delay between the two clock readings, here or in New, reduces the result.
 func (c *Clock) Refresh() (suspended time.Duration) {
-	if c.blind {
+	if c.noBootTime {
 		return 0
 	}
 	boot, err := c.source.BootTime()
 	if err != nil {
-		return 0 // it could be read at the start, and nothing can change that
+		return 0 // not expected: New was able to read it
 	}
-	found := boot - c.boot - c.source.Monotonic().Sub(c.steady)
+	total := boot - c.startBootTime - c.source.Monotonic().Sub(c.startMonotonic)
 	for {
-		known := c.suspended.Load()
-		if int64(found) <= known {
+		previous := c.suspended.Load()
+		if int64(total) <= previous {
 			return 0
 		}
-		if c.suspended.CompareAndSwap(known, int64(found)) {
-			return found - time.Duration(known)
+		if c.suspended.CompareAndSwap(previous, int64(total)) {
+			return total - time.Duration(previous)
 		}
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,43 +8,46 @@
 	"gotest.tools/v3/assert"
 )
 
-// machine is a machine whose clocks a test sets.
-type machine struct {
-	steady time.Time
-	boot   time.Duration
-	fails  error
-	// slow is the time that each reading takes.
-	slow time.Duration
+// fakeMachine is a machine whose clocks a test sets.
+type fakeMachine struct {
+	monotonic time.Time
+	bootTime  time.Duration
+	bootErr   error
+	// readDuration is the time that passes during each reading.
+	readDuration time.Duration
 }
 
-func (m *machine) run(d time.Duration) { m.steady, m.boot = m.steady.Add(d), m.boot+d }
+func (m *fakeMachine) advance(d time.Duration) {
+	m.monotonic, m.bootTime = m.monotonic.Add(d), m.bootTime+d
+}
 
-func (m *machine) source() Source {
+func (m *fakeMachine) source() Source {
 	return Source{
-		Monotonic: func() time.Time { defer m.run(m.slow); return m.steady },
-		BootTime:  func() (time.Duration, error) { defer m.run(m.slow); return m.boot, m.fails },
+		Monotonic: func() time.Time { defer m.advance(m.readDuration); return m.monotonic },
+		BootTime:  func() (time.Duration, error) { defer m.advance(m.readDuration); return m.bootTime, m.bootErr },
 	}
 }
 
-func TestSuspension(t *testing.T) {
-	m := &machine{steady: time.Unix(1_000_000, 0), boot: time.Hour}
+func TestRefreshDetectsSuspensions(t *testing.T) {
+	m := &fakeMachine{monotonic: time.Unix(1_000_000, 0), bootTime: time.Hour}
 	c, err := New(m.source())
 	assert.NilError(t, err)
-	began := c.Now()
-	m.run(time.Second)
+	start := c.Now()
+	m.advance(time.Second)
 	assert.Equal(t, c.Refresh(), time.Duration(0))
-	assert.Equal(t, c.Now().Sub(began), time.Second)
+	assert.Equal(t, c.Now().Sub(start), time.Second)
 	for n := range 3 {
-		m.boot += 4 * time.Second
+		m.bootTime += 4 * time.Second
 		assert.Equal(t, c.Refresh(), 4*time.Second, "suspension %d", n)
 		assert.Equal(t, c.Refresh(), time.Duration(0))
 	}
-	assert.Equal(t, c.Now().Sub(began), 13*time.Second)
+	assert.Equal(t, c.Now().Sub(start), 13*time.Second)
 }
 
-// TestSlowReadingIsNoSuspension: a busy VM may lose its turn between the two readings.
-func TestSlowReadingIsNoSuspension(t *testing.T) {
-	m := &machine{steady: time.Unix(1_000_000, 0), slow: 300 * time.Millisecond}
+// TestRefreshIgnoresSlowClockReads checks that a VM that is descheduled between the two readings of
+// Refresh does not report a suspension.
+func TestRefreshIgnoresSlowClockReads(t *testing.T) {
+	m := &fakeMachine{monotonic: time.Unix(1_000_000, 0), readDuration: 300 * time.Millisecond}
 	c, err := New(m.source())
 	assert.NilError(t, err)
 	for range 20 {
@@ -52,13 +55,13 @@
 	}
 }
 
-func TestWithoutTheTimeSinceTheBoot(t *testing.T) {
-	m := &machine{steady: time.Unix(1_000_000, 0), fails: errors.New("not known")}
+func TestClockWithoutBootTimeIgnoresSuspensions(t *testing.T) {
+	m := &fakeMachine{monotonic: time.Unix(1_000_000, 0), bootErr: errors.New("not known")}
 	c, err := New(m.source())
 	assert.ErrorContains(t, err, "not known")
-	m.run(time.Second)
+	m.advance(time.Second)
 	assert.Equal(t, c.Refresh(), time.Duration(0))
-	assert.Assert(t, c.Now().Equal(m.steady))
+	assert.Assert(t, c.Now().Equal(m.monotonic))
 }
 
 func TestSystemClocks(t *testing.T) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,7 @@
-// Package fleet holds the types in which an edge VM speaks of its surroundings:
-// the configuration that operators publish, the targets that announce
-// themselves, requests of callers, and orders to targets. Adapters to a concrete
-// platform translate its wire format into these types and back; they decide
-// nothing.
+// Package fleet defines the types that an edge VM uses to describe the system around it: the
+// configuration that operators publish, the targets that announce themselves, the requests of
+// callers, and the orders to targets. Adapters to a concrete platform translate its wire format
+// into these types and back; they make no decisions.
 package fleet
 
 import (
@@ -21,25 +20,25 @@
 	Routes   []Route
 	Services map[string]*Service
 	Limits   Limits
-	// Teams whose keys requests must carry; nil: requests carry none.
+	// Teams whose keys requests must carry; nil: requests carry no key.
 	Teams *Teams
-	// Findings name the routes, services and teams that could not be understood, by place.
+	// Findings name the routes, services and teams that could not be parsed, with their position.
 	Findings []error
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests of a caller.
 type Limits struct {
-	// MaxHeaderBytes is the size of a request's head; 0: no limit.
+	// MaxHeaderBytes bounds the size of a request's headers; 0: no limit.
 	MaxHeaderBytes int
-	// MaxBodyBytes is the size of a request's body; 0: no limit.
+	// MaxBodyBytes bounds the size of a request's body; 0: no limit.
 	MaxBodyBytes int64
-	// HeaderTimeout is how long a caller may take to send the head.
+	// HeaderTimeout is how long a caller may take to send the headers.
 	HeaderTimeout time.Duration
 	// IdleTimeout is how long a connection may stay open without a request.
 	IdleTimeout time.Duration
 }
 
-// RouteKind says how often a request may run.
+// RouteKind determines how often a request may run.
 type RouteKind int
 
 // The kinds of route.
@@ -48,11 +47,11 @@
 	NonIdempotent RouteKind = iota
 	// Idempotent requests may run any number of times.
 	Idempotent
-	// Streaming requests run at most once and are answered by events.
+	// Streaming requests run at most once and are answered with an event stream.
 	Streaming
 )
 
-// String gives the kind's name for logs.
+// String returns the kind's name for logs.
 func (k RouteKind) String() string {
 	switch k {
 	case Idempotent:
@@ -69,16 +68,16 @@
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Split is where requests go; empty if the route was not understood, so that its
-	// requests are refused.
+	// Split lists the services that receive the requests. It is empty if the route could not be
+	// parsed; its requests are rejected.
 	Split []WeightedService
-	// Timeout is how long a request may take in all; 0: no limit.
+	// Timeout bounds the total duration of a request; 0: no limit.
 	Timeout time.Duration
-	// LatencyObjective is the latency (to the first event, for streams) that callers
-	// expect; 0: unknown.
+	// LatencyObjective is the latency that callers expect, for streams up to the first event; 0:
+	// unknown.
 	LatencyObjective time.Duration
-	// IdleTimeout is how long callers of a stream wait for its first event, and for each
-	// after it, before they leave; 0: until their deadline.
+	// IdleTimeout is how long callers of a stream wait for its first event, and for each later one,
+	// before they disconnect; 0: until their deadline.
 	IdleTimeout time.Duration
 	// MaxAttempts is how many targets may run one request; at least 1.
 	MaxAttempts int
@@ -90,7 +89,7 @@
 	Public bool
 }
 
-// WeightedService is a service's part of a route's requests.
+// WeightedService is a service with its share of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  float64
@@ -99,24 +98,24 @@
 // Service is a group of targets that do the same work.
 type Service struct {
 	Name string
-	// MaxConnections that a target accepts from all VMs together; 0: unknown.
+	// MaxConnections is how many connections a target accepts from all VMs together; 0: unknown.
 	MaxConnections int
 	// Engine is nil for services that serve no models.
 	Engine *Engine
 }
 
-// Engine describes the model engines of a service; all of them are alike.
+// Engine describes the model engines of a service, which are all alike.
 type Engine struct {
 	// Batch is how many requests an engine runs at once.
 	Batch int
 	// CacheTokens is the memory for prompts and answers, in tokens.
 	CacheTokens int
-	// AdapterSlots is how many adapters an engine holds, loading ones included.
+	// AdapterSlots is how many adapters an engine holds, including those that are loading.
 	AdapterSlots int
 	// WeightsMB is the memory for models and adapters together.
 	WeightsMB float64
-	// StoreLoadsPerSecond is the rate at which loads of models from the weight
-	// store may begin, over all engines. Adapters do not count.
+	// StoreLoadsPerSecond is the rate at which loads of models from the weight store may begin,
+	// over all engines. Loads of adapters do not count.
 	StoreLoadsPerSecond float64
 	Models              []Model
 }
@@ -125,31 +124,31 @@
 type Model struct {
 	Name      string
 	WeightsMB float64
-	// LoadTime from the weight store.
+	// LoadTime is the duration of a load from the weight store.
 	LoadTime time.Duration
 	// AdapterMB is the size of one adapter.
 	AdapterMB float64
 }
 
-// TargetState is what a target says of itself.
+// TargetState is the state that a target reports.
 type TargetState int
 
 // The states of a target.
 const (
-	// TargetReady takes requests.
+	// TargetReady accepts requests.
 	TargetReady TargetState = iota
-	// TargetDraining finishes what it has.
+	// TargetDraining completes its requests and accepts no new ones.
 	TargetDraining
 )
 
-// String gives the state's name for logs.
+// String returns the state's name for logs.
 func (s TargetState) String() string { return [...]string{"ready", "draining"}[s] }
 
 // Target is one incarnation of a target, as it announces itself.
 type Target struct {
 	// ID changes with each start of the target.
 	ID string
-	// Started is when it started, in Unix ms; 0: it does not say so.
+	// Started is the target's start time in Unix ms; 0: not reported.
 	Started  int64
 	Service  string
 	Address  string
@@ -168,7 +167,7 @@
 // ResidentAdapter is an adapter that a target holds or is loading.
 type ResidentAdapter struct {
 	Name string
-	// Version is 0 when the target did not name it.
+	// Version is 0 if the target did not report it.
 	Version int64
 }
 
@@ -191,84 +190,85 @@
 
 // Errors of a Store.
 var (
-	// ErrCompacted means that changes after the revision are no longer kept:
-	// list again.
+	// ErrCompacted means that the store no longer keeps the changes after the revision: the caller
+	// has to list again.
 	ErrCompacted = errors.New("store no longer keeps these changes")
 	// ErrStore marks every other failure of the store.
 	ErrStore = errors.New("store call failed")
 )
 
-// Store reads the platform's store. Each method is one or more calls; none is
-// repeated.
+// Store reads the platform's store. Each method makes one or more calls and retries none of them.
 type Store interface {
-	// List returns all items with a prefix, of one era, and the revision from which to watch on.
+	// List returns all items with a prefix, all of one store epoch, and the revision from which to
+	// watch.
 	List(ctx context.Context, prefix string) (items []Item, revision Revision, err error)
-	// Watch returns changes after a revision as soon as there is one, or none
-	// after wait; and the revision from which to go on. That may be of another era than after: the
-	// changes are of no use then.
+	// Watch returns the changes after a revision as soon as there are any, or none after wait, and
+	// the revision from which to continue. If that revision is of another epoch than after, the
+	// changes must be discarded.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (items []Item, revision Revision, err error)
 	// Revision reads the newest revision.
 	Revision(ctx context.Context) (Revision, error)
 }
 
-// Decoded is what one item of the store holds. At most one field is set; none,
-// for items that this program has no use for.
+// Decoded is the content of one item of the store. At most one field is set; none is set for items
+// that this program does not use.
 type Decoded struct {
 	Config  *Config
 	Target  *Target
 	Version *AdapterVersion
 }
 
-// Request is what a caller asks, beyond its HTTP form.
+// Request holds the parameters of a caller's request that its headers carry.
 type Request struct {
 	// ID of the caller's attempt.
 	ID string
-	// Adapter names what is to run it; zero for services without models.
+	// Adapter that the request is to run on; zero for services without models.
 	Adapter AdapterRef
-	// PromptTokens and OutputTokens (at most) of a model request.
+	// PromptTokens is the length of a model request's prompt, OutputTokens the maximum length of
+	// its output.
 	PromptTokens, OutputTokens int
 	// Parts of the prompt, first to last.
 	Parts []PromptPart
-	// Remaining is how long the caller waits; 0: not said.
+	// Remaining is how long the caller waits; 0: not specified.
 	Remaining time.Duration
-	// Key is the digest of the caller's key; nil: there is none, or not in the form that is
-	// asked for, or more than one.
+	// Key is the digest of the caller's key; nil if the request has no key, a malformed one, or
+	// more than one.
 	Key *KeyDigest
 }
 
 // PromptPart is a part of a prompt that requests may share.
 type PromptPart = coord.PromptPart
 
-// CallMetadata is what is sent to a target on top of the caller's own request.
+// CallMetadata is sent to a target in addition to the caller's own request.
 type CallMetadata struct {
-	// Target that alone may run it.
+	// Target is the only target that may run the request.
 	Target string
 	// Remaining is the time that the target may use.
 	Remaining time.Duration
-	// Priority at the engine, 0 to 9, 0 first; negative: not sent.
+	// Priority at the engine, from 0 to 9, with 0 first; negative: not sent.
 	Priority int
-	// AdapterVersion that alone may run it; 0: any.
+	// AdapterVersion is the only version that may run the request; 0: any.
 	AdapterVersion int64
-	// LastEventID is the last event of the answer that the caller has; empty: as the caller
-	// said.
+	// LastEventID is the last event of the answer that the caller has received; empty: the caller's
+	// own header applies.
 	LastEventID string
 	// Team is the name of the caller's team; empty: none.
 	Team string
 }
 
-// AnswerClass says what an answer of a target means.
+// AnswerClass classifies an answer of a target.
 type AnswerClass int
 
 // The classes of answers.
 const (
-	// Answered: the target ran the request, with whatever status.
+	// Answered: the target ran the request, with any status.
 	Answered AnswerClass = iota
-	// Busy: not run, and the target may have room later.
+	// Busy: the request was not run, and the target may have capacity later.
 	Busy
-	// Misrouted: not run; another process has the address, or the target does
-	// not hold what the request needs.
+	// Misrouted: the request was not run; another process has the address, or the target does not
+	// hold the model or adapter that the request needs.
 	Misrouted
-	// Mismatched: this answers another request.
+	// Mismatched: the answer belongs to another request.
 	Mismatched
 )
 
@@ -276,22 +276,23 @@
 type Codec interface {
 	// DecodeRequest decodes a caller's headers.
 	DecodeRequest(h http.Header) (Request, error)
-	// ForwardRequest returns the caller's headers that go on to a target: neither those of
-	// the connection nor those that are ours to set, nor the key where keys are asked for.
+	// ForwardRequest returns the caller's headers that are forwarded to a target. It omits
+	// hop-by-hop headers, headers that this VM sets itself, and, if keyed, the caller's key.
 	ForwardRequest(h http.Header, keyed bool) http.Header
-	// ForwardResponse returns the headers of a target's answer that go on to the caller.
+	// ForwardResponse returns the headers of a target's answer that are forwarded to the caller.
 	ForwardResponse(h http.Header) http.Header
-	// Encode sets the headers of a call to a target; h comes from Forward.
+	// Encode sets the headers of a call to a target; h comes from ForwardRequest.
 	Encode(h http.Header, c CallMetadata)
-	// Classify says what a target's answer to the request id means.
+	// Classify returns the class of a target's answer to the request id.
 	Classify(id string, status int, h http.Header) AnswerClass
-	// Notice reads what an answer says of its target, whatever request it is to.
+	// Notice decodes the notice that an answer carries about its target, whichever request the
+	// answer belongs to.
 	Notice(status int, h http.Header) Notice
-	// CanResume reports whether an answer can go on where another one, with the head
-	// first, broke off.
+	// CanResume reports whether the answer with the headers next can continue an interrupted answer
+	// with the headers first.
 	CanResume(first, next http.Header) bool
-	// Challenge sets the headers of an answer that a key is missing.
+	// Challenge sets the headers of an answer that reports a missing key.
 	Challenge(h http.Header)
-	// Refuse sets the headers of an answer that the request was not run.
+	// Refuse sets the headers of an answer that reports that the request was not run.
 	Refuse(h http.Header, retryAfter time.Duration)
 }
--- a/internal/fleet/notice.go
+++ b/internal/fleet/notice.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Notice is what a target says of itself beside an answer; the zero value: nothing.
+// Notice is what a target reports about itself beside an answer. The zero value reports nothing.
 type Notice struct {
-	// Leaving says that it ends soon and is to get no further requests.
+	// Leaving means that the target shuts down soon and must receive no further requests.
 	Leaving bool
-	// Backoff is for how long it wants no requests from this VM; 0: it does not ask for rest.
+	// Backoff is how long the target asks this VM to send no requests; 0: no backoff requested.
 	Backoff time.Duration
-	// RateLimit bounds the requests that it takes.
+	// RateLimit bounds the requests that the target accepts.
 	RateLimit RateLimit
 }
 
-// RateLimit bounds the requests that a target takes from all VMs together, for as long as its answers
-// name it.
+// RateLimit bounds the requests that a target accepts from all VMs together. It applies for as long
+// as the target's answers carry it.
 type RateLimit struct {
 	Present bool
-	// PerSecond is UnreadableRate where the named limit could not be read.
+	// PerSecond is InvalidRate if the limit could not be parsed.
 	PerSecond float64
 }
 
-// InvalidRate stands for a limit that was named and could not be read.
+// InvalidRate stands for a limit that was present but could not be parsed.
 const InvalidRate = -1
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Order tells an engine to load or unload a model or an adapter.
+// Order instructs an engine to load or unload a model or an adapter.
 type Order struct {
 	Target  string
 	Address string
@@ -10,11 +10,11 @@
 	Ref     AdapterRef
 	// Version of the adapter to load; 0: the newest.
 	Version int64
-	// Holder and Fence name who gives the order, and under which number.
+	// Holder is the VM that sends the order, and FencingToken the token that it sends it under.
 	Holder       string
 	FencingToken uint64
-	// ExpectedOrders is how many orders the engine must have taken so far for it to obey;
-	// nil: any number.
+	// ExpectedOrders is the number of orders that the engine must have accepted so far to accept
+	// this one; nil: any number.
 	ExpectedOrders *uint64
 }
 
@@ -23,50 +23,50 @@
 
 // The results of an order.
 const (
-	// OrderUnknown: no answer; it may have been taken.
+	// OrderUnknown: no answer; the order may have been accepted.
 	OrderUnknown OrderResult = iota
-	// OrderAccepted: being carried out.
+	// OrderAccepted: the order is being carried out.
 	OrderAccepted
-	// OrderAlreadyApplied: already so.
+	// OrderAlreadyApplied: the engine already is in the requested state.
 	OrderAlreadyApplied
-	// OrderConflict: not taken; another order is under way.
+	// OrderConflict: not accepted; another order is in progress.
 	OrderConflict
-	// OrderFenced: not taken; a higher fencing number was seen.
+	// OrderFenced: not accepted; the engine has seen a higher fencing token.
 	OrderFenced
-	// OrderMisrouted: not taken; the target is another process.
+	// OrderMisrouted: not accepted; another process has the target's address.
 	OrderMisrouted
-	// OrderInvalid: not taken, and never will be.
+	// OrderInvalid: not accepted, and a retry would not be accepted either.
 	OrderInvalid
 )
 
-// String gives the result's name for logs.
+// String returns the result's name for logs.
 func (r OrderResult) String() string {
 	return [...]string{"unknown", "begun", "holds", "conflict", "fenced", "misplaced", "invalid"}[r]
 }
 
-// OrderAnswer is the result of an order, with what the engine says of itself beside it.
+// OrderAnswer is the result of an order, with the notice that came with it.
 type OrderAnswer struct {
 	Result OrderResult
 	Notice Notice
 }
 
-// Report is what an engine says of itself when asked; it lags by some hundred ms.
+// Report is the state that an engine reports on request. It lags by some hundred ms.
 type Report struct {
-	// Started is when the engine started, as in Target.
+	// Started is the engine's start time, as in Target.
 	Started  int64
 	Resident []ResidentModel
 	Pending  []AdapterRef
-	// Busy says that the engine loads or unloads a base model.
+	// Busy means that the engine is loading or unloading a base model.
 	Busy    bool
 	Running int
 	Waiting int
-	// OrderCount is how many orders the engine has taken since its start.
+	// OrderCount is how many orders the engine has accepted since its start.
 	OrderCount uint64
-	// Notice is what the answer says besides; it counts also beside an error.
+	// Notice is the notice that came with the answer; it is valid even if Report returned an error.
 	Notice Notice
 }
 
-// Engines gives orders to engines and reads their reports.
+// Engines sends orders to engines and reads their reports.
 type Engines interface {
 	Order(ctx context.Context, o Order) (OrderAnswer, error)
 	Report(ctx context.Context, target, address string) (Report, error)
--- a/internal/fleet/team.go
+++ b/internal/fleet/team.go
@@ -2,32 +2,33 @@
 
 import "crypto/sha256"
 
-// KeyDigest stands for a caller's key. Keys themselves are not kept beyond the configuration
-// that names them, and are never logged. A digest is looked up by its value, so that the
-// time that takes says nothing of the key.
+// KeyDigest identifies a caller's key. Keys themselves are kept only in the configuration that
+// names them, and are never logged. Digests are looked up by value, so that the duration of a
+// lookup reveals nothing about the key.
 type KeyDigest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// shownBytes of a digest name a key in logs: enough to tell a fleet's keys apart.
-const shownBytes = 4
+// logPrefixBytes is how many bytes of a digest identify a key in logs: enough to distinguish the
+// keys of a fleet.
+const logPrefixBytes = 4
 
 // LogPrefix returns the first bytes of a digest, for logs.
-func (d KeyDigest) LogPrefix() []byte { return d[:shownBytes] }
+func (d KeyDigest) LogPrefix() []byte { return d[:logPrefixBytes] }
 
-// Quota bounds what a team's requests may cost over all VMs.
+// Quota bounds the total cost of a team's requests over all VMs.
 type Quota struct {
-	// PerSecond is the rate, and Burst what may come at once on top, in units; PerSecond 0:
-	// no limit.
+	// PerSecond is the sustained rate and Burst the cost that may arrive at once on top of it, both
+	// in units; PerSecond 0: no limit.
 	PerSecond, Burst float64
-	// ChargeTokens says that a request costs its prompt and output tokens, or Plain where it
-	// names none; else each request costs one unit.
+	// ChargeTokens means that a request costs its prompt and output tokens, or DefaultCost if it
+	// specifies none; otherwise each request costs one unit.
 	ChargeTokens bool
 	DefaultCost  float64
 }
 
-// Cost returns what a request costs, in units.
+// Cost returns the cost of a request, in units.
 func (q Quota) Cost(r *Request) float64 {
 	switch {
 	case !q.ChargeTokens:
@@ -41,27 +42,29 @@
 // Team is an organisation whose requests carry its keys.
 type Team struct {
 	Name string
-	// Priority goes before that of a route; negative: the route's holds.
+	// Priority overrides that of a route; negative: the route's priority applies.
 	Priority int
 	Quota    Quota
 	Keys     []KeyDigest
 }
 
-// Teams finds the team of a key.
+// Teams maps keys to teams.
 type Teams struct {
 	All []*Team
-	// Complete says that every team could be read: a key that is not known here is of none.
+	// Complete means that every team could be parsed: a key that is not listed here belongs to no
+	// team.
 	Complete bool
 
 	byKey map[KeyDigest]*Team
 }
 
-// NewTeams returns the teams with an index of their keys. A key of two teams is of neither.
+// NewTeams returns the teams with an index of their keys. A key that two teams list belongs to
+// neither.
 func NewTeams(all []*Team, complete bool) *Teams {
 	t := &Teams{All: all, Complete: complete, byKey: map[KeyDigest]*Team{}}
 	for _, team := range all {
 		for _, key := range team.Keys {
-			if other, held := t.byKey[key]; held && other != team {
+			if other, listed := t.byKey[key]; listed && other != team {
 				t.byKey[key] = nil
 				continue
 			}
@@ -71,7 +74,7 @@
 	return t
 }
 
-// Lookup returns the team of a key. A key that is known and of no single team is listed with nil.
+// Lookup returns the team of a key. For a key that several teams list, it returns nil and true.
 func (t *Teams) Lookup(key KeyDigest) (team *Team, listed bool) {
 	team, listed = t.byKey[key]
 	return team, listed
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,6 @@
-// Package node puts one VM together: the front door, the owner of targets, the
-// sessions with other VMs, and what keeps bundle, list and records current.
+// Package node assembles one VM: the front end for callers, the owner of targets, the sessions with
+// other VMs, and the components that keep the configuration bundle, the VM list and the outcome
+// records current.
 package node
 
 import (
@@ -42,61 +43,62 @@
 	incarnation uint64
 	now         func() time.Time
 
-	metrics *metrics.Set
-	audit   *audit.Trail
-	view    *view
-	mesh    *peer.Mesh
-	sync    *confsync.Sync
-	records *records.Store
-	turns   *permits.Coordinator
-	owner   *owner.Owner
-	router  *router.Router
-	limits  *limits.Limiter
-	retries *limits.RetryBudget
-	door    *entry.Server
+	metrics  *metrics.Set
+	audit    *audit.Trail
+	view     *view
+	mesh     *peer.Mesh
+	sync     *confsync.Sync
+	records  *records.Store
+	permits  *permits.Coordinator
+	owner    *owner.Owner
+	router   *router.Router
+	limits   *limits.Limiter
+	retries  *limits.RetryBudget
+	frontEnd *entry.Server
 
-	doorListener, peerListener, opsListener net.Listener
+	frontEndListener, peerListener, opsListener net.Listener
 
 	catalog atomic.Pointer[catalog.Catalog]
-	// refreshing makes refreshes one at a time, so that an older view never
-	// replaces a newer one.
-	refreshing sync.Mutex
-	// turnGiver is the VM that gives load turns in the current view.
-	turnGiver atomic.Pointer[coord.VMID]
-	draining  atomic.Bool
-	killed    chan struct{}
-	killOnce  sync.Once
-	// beating keeps one heartbeat to each monitor under way at most.
-	beating sync.Map
+	// refreshMu serializes refreshes, so that an older view never replaces a newer one.
+	refreshMu sync.Mutex
+	// currentIssuer is the VM that issues load permits in the current view.
+	currentIssuer atomic.Pointer[coord.VMID]
+	draining      atomic.Bool
+	killed        chan struct{}
+	killOnce      sync.Once
+	// heartbeatsInFlight holds the monitors to which a heartbeat is in flight; there is at most one
+	// per monitor.
+	heartbeatsInFlight sync.Map
 }
 
-// Defaults until a bundle says otherwise.
+// Defaults that apply until the first bundle arrives.
 const (
-	firstLoadRate  = 1.0
-	firstRetention = 10 * time.Minute
-	firstBytes     = 16 << 20
-	firstRetries   = 0.1
-	dialTimeout    = 2 * time.Second
+	initialLoadsPerSecond   = 1.0
+	initialOutcomeRetention = 10 * time.Minute
+	initialOutcomeBytes     = 16 << 20
+	initialRetryShare       = 0.1
+	// dialTimeout bounds a connection attempt to a VM or a target. Bundles do not change it.
+	dialTimeout = 2 * time.Second
 )
 
 // DialFunc opens a connection to another VM's peer listener.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// New opens the listeners and puts the parts together.
+// New opens the listeners and assembles the components of a VM.
 func New(s *schema.Settings, l log.Interface) (*Node, error) { return NewWithDial(s, l, nil) }
 
-// NewWithDial is New with another way to reach other VMs; nil means TCP.
+// NewWithDial is like New but reaches other VMs through dial; nil means TCP.
 func NewWithDial(s *schema.Settings, l log.Interface, dial DialFunc) (*Node, error) {
 	n := &Node{
 		settings: s, log: l, now: time.Now, incarnation: uint64(time.Now().UnixNano()),
 		killed:  make(chan struct{}),
-		metrics: metrics.New(), limits: limits.New(), retries: limits.NewRetryBudget(firstRetries),
+		metrics: metrics.New(), limits: limits.New(), retries: limits.NewRetryBudget(initialRetryShare),
 	}
 	self := coord.VMID(s.Vm.Id)
 	n.audit = audit.New(s.Vm.Id, l)
 	n.view = newView(self, s.Vm.Hall, time.Duration(s.Peer.HeartbeatMs)*time.Millisecond, n.now)
 	n.router = router.New(n.now)
-	if err := n.connect(self, dial); err != nil {
+	if err := n.buildComponents(self, dial); err != nil {
 		return nil, err
 	}
 	if err := n.listen(); err != nil {
@@ -106,8 +108,9 @@
 	return n, nil
 }
 
-// connect builds what talks to others.
-func (n *Node) connect(self coord.VMID, dial DialFunc) error {
+// buildComponents creates the components that communicate with callers, other VMs, targets and the
+// platform.
+func (n *Node) buildComponents(self coord.VMID, dial DialFunc) error {
 	tlsConfig, err := peer.TLSFromSettings(n.settings.Peer)
 	if err != nil {
 		return err
@@ -123,38 +126,38 @@
 	n.sync = n.newSync(trust, transport)
 	n.records = records.New(records.Config{
 		Self: self, Incarnation: n.incarnation, Peers: n.mesh, Lists: n.sync, Now: n.now,
-		Limits: outcome.Config{Retention: firstRetention, MaxBytes: firstBytes},
+		Limits: outcome.Config{Retention: initialOutcomeRetention, MaxBytes: initialOutcomeBytes},
 	})
-	n.turns = &permits.Coordinator{
-		Self: self, Local: permits.NewIssuer(firstLoadRate, n.now), Fallback: permits.NewIssuer(firstLoadRate, n.now),
-		Peers: n.mesh, IssuerVM: n.giver,
+	n.permits = &permits.Coordinator{
+		Self: self, Local: permits.NewIssuer(initialLoadsPerSecond, n.now), Fallback: permits.NewIssuer(initialLoadsPerSecond, n.now),
+		Peers: n.mesh, IssuerVM: n.permitIssuer,
 	}
 	n.owner = n.newOwner(self, transport)
-	n.door = n.newDoor(transport)
+	n.frontEnd = n.newFrontEnd(transport)
 	return nil
 }
 
 func (n *Node) newSync(trust bundle.Trust, transport http.RoundTripper) *confsync.Sync {
 	p := n.settings.Platform
-	counted := func() { n.metrics.PlatformReads.Add(1) }
+	countRead := func() { n.metrics.PlatformReads.Add(1) }
 	return confsync.New(confsync.Config{
-		Platform: platform.NewClient(p.ConfigUrl, p.VmListUrl, transport, counted),
+		Platform: platform.NewClient(p.ConfigUrl, p.VmListUrl, transport, countRead),
 		Peers:    n.mesh, Trust: trust, Seeds: p.Seeds, Seed: n.incarnation, Log: n.log,
 		ListPoll: time.Duration(p.VmListPollMs) * time.Millisecond,
 		Watch:    time.Duration(p.WatchMs) * time.Millisecond,
-		OnBundle: n.onBundle, OnList: n.onList, OnRejected: n.onRefused, Heartbeat: n.heartbeat,
+		OnBundle: n.onBundle, OnList: n.onList, OnRejected: n.onBundleRejected, Heartbeat: n.heartbeat,
 	}, n.view)
 }
 
 func (n *Node) newOwner(self coord.VMID, transport http.RoundTripper) *owner.Owner {
 	return owner.New(owner.Config{
-		Self: self, Incarnation: n.incarnation, TieBreaker: tieOf(n.settings.Vm.Id), Transport: transport,
-		OrderToken: n.settings.Platform.OrderToken, Permits: n.turns, Releases: n,
+		Self: self, Incarnation: n.incarnation, TieBreaker: tieBreakerOf(n.settings.Vm.Id), Transport: transport,
+		OrderToken: n.settings.Platform.OrderToken, Permits: n.permits, Releases: n,
 		Log: n.log, Audit: n.audit, Metrics: n.metrics, Now: n.now,
 	})
 }
 
-func (n *Node) newDoor(transport http.RoundTripper) *entry.Server {
+func (n *Node) newFrontEnd(transport http.RoundTripper) *entry.Server {
 	return entry.New(entry.Config{
 		Settings: n.settings.Door, Router: n.router, Records: n.records, Limits: n.limits, Retries: n.retries,
 		Owner: n.executor, Transport: transport, Alive: n.view.alive, Ready: n.Ready,
@@ -162,7 +165,7 @@
 	})
 }
 
-// maxIdlePerTarget keeps connections to targets open between requests.
+// maxIdlePerTarget bounds the idle connections that stay open to each target between requests.
 const maxIdlePerTarget = 256
 
 func newTransport() *http.Transport {
@@ -174,8 +177,8 @@
 	}
 }
 
-// tieOf makes fencing numbers of different VMs differ.
-func tieOf(id string) uint16 {
+// tieBreakerOf returns a hash of a VM's ID that makes the fencing tokens of different VMs differ.
+func tieBreakerOf(id string) uint16 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return uint16(h.Sum32())
@@ -184,9 +187,9 @@
 func (n *Node) listen() error {
 	for _, l := range []struct {
 		address string
-		into    *net.Listener
+		dest    *net.Listener
 	}{
-		{n.settings.Door.Listen, &n.doorListener},
+		{n.settings.Door.Listen, &n.frontEndListener},
 		{n.settings.Peer.Listen, &n.peerListener},
 		{n.settings.Operator.Listen, &n.opsListener},
 	} {
@@ -195,28 +198,28 @@
 			n.closeListeners()
 			return errors.Wrapf(err, "listen on %s", l.address)
 		}
-		*l.into = listener
+		*l.dest = listener
 	}
 	return nil
 }
 
 func (n *Node) closeListeners() {
-	for _, l := range []net.Listener{n.doorListener, n.peerListener, n.opsListener} {
+	for _, l := range []net.Listener{n.frontEndListener, n.peerListener, n.opsListener} {
 		if l != nil {
 			_ = l.Close()
 		}
 	}
 }
 
-// Addresses returns where callers, peers and operators connect.
-func (n *Node) Addresses() (door, peers, ops string) {
-	return n.doorListener.Addr().String(), n.peerListener.Addr().String(), n.opsListener.Addr().String()
+// Addresses returns the addresses on which callers, peers and operators connect.
+func (n *Node) Addresses() (frontEnd, peers, ops string) {
+	return n.frontEndListener.Addr().String(), n.peerListener.Addr().String(), n.opsListener.Addr().String()
 }
 
-// Ready reports whether the balancer may send requests.
+// Ready reports whether the load balancer may send requests.
 func (n *Node) Ready() bool { return !n.draining.Load() && n.catalog.Load() != nil }
 
-// executor returns what runs attempts at a VM.
+// executor returns the executor that runs attempts at a VM: the local owner, or a remote VM.
 func (n *Node) executor(vm coord.VMID) forward.Executor {
 	if string(vm) == n.settings.Vm.Id {
 		return n.owner
@@ -224,9 +227,9 @@
 	return n.mesh.Remote(vm)
 }
 
-// giver returns the VM that gives load turns, or "" before the first view.
-func (n *Node) giver() coord.VMID {
-	if vm := n.turnGiver.Load(); vm != nil {
+// permitIssuer returns the VM that issues load permits, or "" before the first view.
+func (n *Node) permitIssuer() coord.VMID {
+	if vm := n.currentIssuer.Load(); vm != nil {
 		return *vm
 	}
 	return ""
@@ -249,7 +252,7 @@
 		MaxBytes:  int(b.Limits.GetOutcomeBytes()),
 	})
 	n.retries.SetShare(b.Limits.GetRetryShare())
-	n.turns.Local.SetRate(b.Limits.GetLoadsPerSecond())
+	n.permits.Local.SetRate(b.Limits.GetLoadsPerSecond())
 	n.audit.Record(n.now(), audit.Change{
 		Actor: m.Author, Subject: "bundle", Old: versionText(old),
 		New: strconv.FormatUint(m.Version, 10), Comment: m.Comment,
@@ -273,25 +276,25 @@
 	n.records.SetMembers(n.view.members())
 }
 
-func (n *Node) onRefused(err error) {
+func (n *Node) onBundleRejected(err error) {
 	n.metrics.BundlesRefused.Add(1)
 	n.log.WithError(err).Warn("bundle_refused")
 }
 
-// refresh carries a changed view or bundle to the parts that decide from it.
+// refresh applies a changed view or bundle to the components that make decisions from it.
 func (n *Node) refresh() {
-	n.refreshing.Lock()
-	defer n.refreshing.Unlock()
+	n.refreshMu.Lock()
+	defer n.refreshMu.Unlock()
 	c := n.catalog.Load()
 	if c == nil {
 		return
 	}
 	members := n.view.members()
 	chooser := ownership.NewChooser(members)
-	giver := chooser.Singleton(permits.IssuerKey)
-	n.turnGiver.Store(&giver)
+	issuer := chooser.Singleton(permits.IssuerKey)
+	n.currentIssuer.Store(&issuer)
 	n.limits.SetVMs(countLive(members))
-	n.turns.Fallback.SetRate(c.Limits.GetLoadsPerSecond() / float64(max(countLive(members), 1)))
+	n.permits.Fallback.SetRate(c.Limits.GetLoadsPerSecond() / float64(max(countLive(members), 1)))
 	n.router.SetView(router.View{Catalog: c, Chooser: chooser, Zone: n.settings.Vm.Hall})
 	n.owner.Apply(owner.View{
 		Catalog: c, Chooser: chooser, Peers: n.view.Others(),
@@ -299,7 +302,7 @@
 	})
 }
 
-// RequestRelease asks another VM whether it has let go of targets.
+// RequestRelease asks another VM which of the claimed targets it has released.
 func (n *Node) RequestRelease(ctx context.Context, vm coord.VMID, claims []*schema.Claim) ([]*schema.Released, error) {
 	reply, err := n.mesh.Call(ctx, vm, &schema.Call{Body: &schema.Call_Release{
 		Release: &schema.ReleaseRequest{Vm: n.settings.Vm.Id, Claims: claims},
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -8,29 +8,30 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// peerHandler serves what other VMs ask of a Node.
+// peerHandler serves the requests of other VMs to a Node.
 type peerHandler Node
 
-// ServeForward runs an attempt on a target that this VM owns.
+// ServeForward runs an attempt on a target that this VM owns. If the sender has a newer bundle, it
+// first waits for that bundle for up to bundleWaitTimeout.
 func (h *peerHandler) ServeForward(ctx context.Context, from coord.VMID, f *schema.Forward, w *peer.AnswerWriter) {
 	n := (*Node)(h)
 	n.sync.ObserveVersions(from, f.BundleVersion, f.ListVersion)
-	if n.behind(f.BundleVersion) {
+	if n.lacksBundle(f.BundleVersion) {
 		n.waitForBundle(ctx, f.BundleVersion)
 	}
 	_ = w.End(n.owner.Execute(ctx, f, w))
 }
 
-// HandleHeartbeat takes a heartbeat or a hello.
+// HandleHeartbeat applies a heartbeat, or the hello of a new session, to the membership view.
 func (h *peerHandler) HandleHeartbeat(b *schema.Heartbeat) {
 	n := (*Node)(h)
-	if n.view.heard(b) {
+	if n.view.handleHeartbeat(b) {
 		n.log.WithField("peer", b.Vm).WithField("leaving", b.Leaving).Info("peer_heard")
 	}
 	n.sync.ObserveVersions(coord.VMID(b.Vm), b.BundleVersion, b.ListVersion)
 }
 
-// ServeCall answers a call, with this VM's versions on every reply.
+// ServeCall answers a call and adds this VM's bundle and list versions to the reply.
 func (h *peerHandler) ServeCall(ctx context.Context, from coord.VMID, c *schema.Call) *schema.Reply {
 	n := (*Node)(h)
 	reply := n.answer(ctx, from, c)
@@ -42,7 +43,7 @@
 	if r := n.records.Serve(ctx, from, c); r != nil {
 		return r
 	}
-	if r := n.turns.Serve(ctx, c); r != nil {
+	if r := n.permits.Serve(ctx, c); r != nil {
 		return r
 	}
 	switch body := c.Body.(type) {
@@ -50,11 +51,11 @@
 		(*peerHandler)(n).HandleHeartbeat(body.Heartbeat)
 		return emptyReply()
 	case *schema.Call_Suspect:
-		n.takeSuspicion(body.Suspect)
+		n.handleSuspicion(body.Suspect)
 		return emptyReply()
 	case *schema.Call_Release:
 		return &schema.Reply{Body: &schema.Reply_Release{Release: &schema.ReleaseReply{
-			Released: n.owner.Release(body.Release.Claims),
+			Released: n.owner.HandleReleaseRequest(body.Release.Claims),
 		}}}
 	case *schema.Call_Manifest:
 		return n.manifestReply()
@@ -86,28 +87,28 @@
 	return &schema.Reply{Body: &schema.Reply_Chunk{Chunk: &schema.ChunkReply{Data: data}}}
 }
 
-// takeSuspicion takes another VM's notice. A VM that hears itself suspected says
-// at once that it is there.
-func (n *Node) takeSuspicion(s *schema.SuspectNotice) {
+// handleSuspicion applies another VM's report that a VM is unresponsive. If the report names this
+// VM, it immediately sends a heartbeat to all other VMs.
+func (n *Node) handleSuspicion(s *schema.SuspectNotice) {
 	if s.Vm == n.settings.Vm.Id {
-		n.tellAll(&schema.Call{Body: &schema.Call_Heartbeat{Heartbeat: n.heartbeat()}})
+		n.broadcast(&schema.Call{Body: &schema.Call_Heartbeat{Heartbeat: n.heartbeat()}})
 		return
 	}
-	if n.view.suspected(coord.VMID(s.Vm), s.Incarnation) {
+	if n.view.handleSuspicion(coord.VMID(s.Vm), s.Incarnation) {
 		n.metrics.Suspects.Add(1)
 		n.log.WithField("peer", s.Vm).WithField("reporter", s.Reporter).Warn("peer_suspect")
 	}
 }
 
-// tellAll sends a call to every other listed VM without waiting.
-func (n *Node) tellAll(c *schema.Call) {
+// broadcast sends a call to every other listed VM and does not wait for the replies.
+func (n *Node) broadcast(c *schema.Call) {
 	for _, vm := range n.view.Others() {
-		go n.tell(vm, c)
+		go n.notify(vm, c)
 	}
 }
 
-func (n *Node) tell(vm coord.VMID, c *schema.Call) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+func (n *Node) notify(vm coord.VMID, c *schema.Call) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	_, _ = n.mesh.Call(ctx, vm, c)
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -15,53 +15,55 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Times of the node's loops.
+// Timeouts and intervals of the node's loops.
 const (
-	// tellTimeout bounds a notice to one VM.
-	tellTimeout = 2 * time.Second
-	// bundleWait is how long an attempt waits for a bundle that its sender has
-	// and this VM lacks.
-	bundleWait = 2 * time.Second
-	bundlePoll = 10 * time.Millisecond
-	// fadeEvery is the time between two ticks of the router.
-	fadeEvery = time.Second
-	// dropAfter is how long a VM may be suspect before its sessions are ended.
-	dropAfter = 5 * time.Second
-	// drainPoll is the time between two looks at what is still open.
-	drainPoll = 20 * time.Millisecond
-	// sessionDrainTimeout bounds the wait for what other VMs have under way here at the
-	// end of a stop: some turns of a busy VM, as new work is refused at once.
+	// notifyTimeout bounds a broadcast call to one VM.
+	notifyTimeout = 2 * time.Second
+	// bundleWaitTimeout bounds how long an attempt waits for a bundle that its sender has and this
+	// VM lacks.
+	bundleWaitTimeout  = 2 * time.Second
+	bundlePollInterval = 10 * time.Millisecond
+	// maintenanceInterval is the time between two maintenance runs: a tick of the router and the
+	// disconnection of unresponsive VMs.
+	maintenanceInterval = time.Second
+	// disconnectSuspectAfter is how long a VM may be suspect before its sessions are closed.
+	disconnectSuspectAfter = 5 * time.Second
+	// drainPollInterval is the time between two checks for requests that are still in flight.
+	drainPollInterval = 20 * time.Millisecond
+	// sessionDrainTimeout bounds, at the end of a shutdown, the wait for requests of other VMs that
+	// are in flight here. A few scheduling delays of a busy VM are enough, because new requests are
+	// rejected immediately.
 	sessionDrainTimeout = 2 * time.Second
-	// headerTimeout bounds the time a caller takes to send a request's head.
+	// headerTimeout bounds how long a caller may take to send a request's headers.
 	headerTimeout = 10 * time.Second
 )
 
-// Run serves until the context ends, then drains: readiness fails first, owned
-// targets go to other VMs, the door stays open for what the balancer still
-// sends, and requests that run end whole.
+// Run serves until the context ends and then drains: readiness fails first, owned targets are
+// handed over to other VMs, the front end stays open for requests that the load balancer still
+// sends, and running requests complete.
 func (n *Node) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){n.sync.Run, n.owner.Run, n.records.Run, n.beatLoop, n.viewLoop, n.fadeLoop} {
+	for _, loop := range []func(context.Context){n.sync.Run, n.owner.Run, n.records.Run, n.heartbeatLoop, n.viewLoop, n.maintenanceLoop} {
 		wg.Go(func() { loop(work) })
 	}
 	go n.mesh.Serve(n.peerListener)
-	door := &http.Server{Handler: n.door, ReadHeaderTimeout: headerTimeout}
-	operators := &http.Server{Handler: ops.New(n.settings.Operator.Token, n.opsSource()), ReadHeaderTimeout: headerTimeout}
+	frontServer := &http.Server{Handler: n.frontEnd, ReadHeaderTimeout: headerTimeout}
+	opsServer := &http.Server{Handler: ops.New(n.settings.Operator.Token, n.opsSource()), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 2)
-	go serve(door, n.doorListener, failed)
-	go serve(operators, n.opsListener, failed)
+	go serve(frontServer, n.frontEndListener, failed)
+	go serve(opsServer, n.opsListener, failed)
 	n.log.WithField("door", n.settings.Door.Listen).WithField("incarnation", n.incarnation).Info("started")
 	var err error
 	select {
 	case <-ctx.Done():
-		n.drain(door)
+		n.drain(frontServer)
 	case <-n.killed:
 	case err = <-failed:
 	}
 	stop()
-	n.closeAll(door, operators)
+	n.closeAll(frontServer, opsServer)
 	wg.Wait()
 	n.owner.Close()
 	n.log.Info("stopped")
@@ -74,39 +76,41 @@
 	}
 }
 
-// Kill ends Run at once and drains nothing, as a crash would.
+// Kill ends Run immediately without draining, as a crash would.
 func (n *Node) Kill() { n.killOnce.Do(func() { close(n.killed) }) }
 
-func (n *Node) closeAll(door, operators *http.Server) {
-	_ = door.Close()
-	_ = operators.Close()
+func (n *Node) closeAll(frontServer, opsServer *http.Server) {
+	_ = frontServer.Close()
+	_ = opsServer.Close()
 	n.closeListeners()
 	n.mesh.Close()
 }
 
-// drain lets go of everything in order.
-func (n *Node) drain(door *http.Server) {
+// drain announces that this VM leaves, waits the configured time for the load balancer to stop
+// sending requests, and lets the requests in flight complete before it drains the peer sessions.
+func (n *Node) drain(frontServer *http.Server) {
 	n.draining.Store(true)
 	n.log.Info("draining")
 	n.view.setLeaving()
-	n.tellAll(&schema.Call{Body: &schema.Call_Heartbeat{Heartbeat: n.heartbeat()}})
+	n.broadcast(&schema.Call{Body: &schema.Call_Heartbeat{Heartbeat: n.heartbeat()}})
 	time.Sleep(time.Duration(n.settings.Door.DrainMs) * time.Millisecond)
 	limit := time.Duration(n.settings.Door.MaxRequestMs) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	_ = door.Shutdown(ctx)
+	_ = frontServer.Shutdown(ctx)
 	for n.owner.Running() > 0 && ctx.Err() == nil {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	sessions, stop := context.WithTimeout(ctx, sessionDrainTimeout)
 	defer stop()
 	n.mesh.Drain(sessions)
 }
 
-// beatLoop sends heartbeats to the monitors and looks for silent VMs.
-func (n *Node) beatLoop(ctx context.Context) {
-	every := time.Duration(n.settings.Peer.HeartbeatMs) * time.Millisecond
-	ticker := time.NewTicker(every)
+// heartbeatLoop sends heartbeats to the monitors of this VM and announces VMs whose heartbeats are
+// missing.
+func (n *Node) heartbeatLoop(ctx context.Context) {
+	interval := time.Duration(n.settings.Peer.HeartbeatMs) * time.Millisecond
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -115,35 +119,35 @@
 		case <-ticker.C:
 		}
 		for _, m := range n.view.tick() {
-			n.spreadSuspicion(m)
+			n.announceSuspicion(m)
 		}
-		beat := n.heartbeat()
-		for _, vm := range n.view.myMonitors() {
-			go n.beat(ctx, vm, beat)
+		heartbeat := n.heartbeat()
+		for _, vm := range n.view.ownMonitors() {
+			go n.sendHeartbeat(ctx, vm, heartbeat)
 		}
 	}
 }
 
-// beat sends one heartbeat unless the last one is still on its way.
-func (n *Node) beat(ctx context.Context, vm coord.VMID, h *schema.Heartbeat) {
-	if _, busy := n.beating.LoadOrStore(vm, true); busy {
+// sendHeartbeat sends one heartbeat to a VM unless the previous one to it is still in flight.
+func (n *Node) sendHeartbeat(ctx context.Context, vm coord.VMID, h *schema.Heartbeat) {
+	if _, busy := n.heartbeatsInFlight.LoadOrStore(vm, true); busy {
 		return
 	}
-	defer n.beating.Delete(vm)
+	defer n.heartbeatsInFlight.Delete(vm)
 	if err := n.mesh.SendHeartbeat(ctx, vm, h); err != nil {
 		n.log.WithError(err).WithField("peer", string(vm)).Debug("heartbeat_failed")
 	}
 }
 
-func (n *Node) spreadSuspicion(m membership.Member) {
+func (n *Node) announceSuspicion(m membership.Member) {
 	n.metrics.Suspects.Add(1)
 	n.log.WithField("peer", string(m.ID)).Warn("peer_silent")
-	n.tellAll(&schema.Call{Body: &schema.Call_Suspect{Suspect: &schema.SuspectNotice{
+	n.broadcast(&schema.Call{Body: &schema.Call_Suspect{Suspect: &schema.SuspectNotice{
 		Vm: string(m.ID), Incarnation: m.Incarnation, Reporter: n.settings.Vm.Id,
 	}}})
 }
 
-// viewLoop carries changes of the view on, one at a time.
+// viewLoop refreshes the components after each change of the view, one at a time.
 func (n *Node) viewLoop(ctx context.Context) {
 	for {
 		select {
@@ -155,17 +159,18 @@
 	}
 }
 
-// dropSilent ends the sessions with VMs that have been silent for long: a VM that
-// lost its power sends no reset, and requests through it would hang to their
-// deadline. One that was only paused makes new sessions when it wakes.
-func (n *Node) dropSilent() {
-	for _, vm := range n.view.silentFor(dropAfter) {
+// disconnectUnresponsive closes the sessions with VMs that have been suspect for
+// disconnectSuspectAfter. A VM that lost power sends no TCP reset, and requests over its sessions
+// would hang until their deadlines. A VM that was only suspended opens new sessions when it
+// resumes.
+func (n *Node) disconnectUnresponsive() {
+	for _, vm := range n.view.suspectsOlderThan(disconnectSuspectAfter) {
 		n.mesh.Disconnect(vm)
 	}
 }
 
-func (n *Node) fadeLoop(ctx context.Context) {
-	ticker := time.NewTicker(fadeEvery)
+func (n *Node) maintenanceLoop(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -173,23 +178,23 @@
 			return
 		case <-ticker.C:
 			n.router.Tick()
-			n.dropSilent()
+			n.disconnectUnresponsive()
 		}
 	}
 }
 
-func (n *Node) behind(version uint64) bool {
-	in, _ := n.sync.Versions()
-	return in < version
+func (n *Node) lacksBundle(version uint64) bool {
+	current, _ := n.sync.Versions()
+	return current < version
 }
 
-// waitForBundle waits until this VM has caught up with the sender's bundle.
+// waitForBundle waits until this VM has the sender's bundle, at most bundleWaitTimeout.
 func (n *Node) waitForBundle(ctx context.Context, version uint64) {
-	ctx, cancel := context.WithTimeout(ctx, bundleWait)
+	ctx, cancel := context.WithTimeout(ctx, bundleWaitTimeout)
 	defer cancel()
-	ticker := time.NewTicker(bundlePoll)
+	ticker := time.NewTicker(bundlePollInterval)
 	defer ticker.Stop()
-	for n.behind(version) {
+	for n.lacksBundle(version) {
 		select {
 		case <-ctx.Done():
 			return
@@ -198,7 +203,7 @@
 	}
 }
 
-// opsSource gives the operators' interface what it shows.
+// opsSource returns the data source of the operator interface.
 func (n *Node) opsSource() ops.Source {
 	return ops.Source{
 		Status: n.Status, Audit: n.audit.Events, Metrics: n.metrics.Map,
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -6,7 +6,7 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Status returns what the VM tells operators.
+// Status returns the VM's state for operators.
 func (n *Node) Status() *schema.Status {
 	b, l := n.sync.Versions()
 	out := &schema.Status{
@@ -24,7 +24,7 @@
 }
 
 func (n *Node) publishGauges() {
-	n.metrics.Gauge("open_requests", func() int64 { return int64(n.door.OpenRequests()) })
+	n.metrics.Gauge("open_requests", func() int64 { return int64(n.frontEnd.OpenRequests()) })
 	n.metrics.Gauge("peer_sessions", func() int64 { return int64(n.mesh.Sessions()) })
 	n.metrics.Gauge("peer_bytes_in_total", func() int64 { in, _ := n.mesh.Bytes(); return in })
 	n.metrics.Gauge("peer_bytes_out_total", func() int64 { _, out := n.mesh.Bytes(); return out })
@@ -44,11 +44,11 @@
 	return settled
 }
 
-// BundlesRefused returns how many bundles this VM did not accept.
+// BundlesRefused returns how many bundles this VM rejected.
 func (n *Node) BundlesRefused() int64 { return n.metrics.BundlesRefused.Value() }
 
-// PeerTraffic returns the bytes on all peer sessions so far, and how many
-// sessions are open.
+// PeerTraffic returns the bytes read and written on all peer sessions so far, and the number of
+// open sessions.
 func (n *Node) PeerTraffic() (in, out int64, sessions int) {
 	in, out = n.mesh.Bytes()
 	return in, out, n.mesh.Sessions()
@@ -57,8 +57,8 @@
 // PlatformReads returns how many calls this VM has made to the platform.
 func (n *Node) PlatformReads() int64 { return n.metrics.PlatformReads.Value() }
 
-// Explain says why a model's request goes where it goes; nil for a model that the
-// bundle does not hold.
+// Explain returns the candidates and the chosen target for a request to a model, with reasons; nil
+// if the bundle does not contain the model.
 func (n *Node) Explain(model string) *schema.Explanation {
 	m, kind := n.router.Catalog().Resolve(model)
 	if kind != catalog.OK {
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -10,35 +10,35 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// view is the membership view of one VM behind a lock. It implements
-// confsync.Membership. Lock order: view.mu is taken alone.
+// view is the membership view of one VM, guarded by a mutex. It implements confsync.Membership.
+// Lock order: view.mu is never held together with another lock.
 type view struct {
 	self coord.VMID
-	hall string
+	zone string
 	now  func() time.Time
 
 	mu      sync.Mutex
 	tracker *membership.Tracker
 	leaving bool
-	// dirty is signalled when the view has changed.
+	// dirty receives a signal when the view has changed.
 	dirty chan struct{}
 }
 
-func newView(self coord.VMID, hall string, heartbeat time.Duration, now func() time.Time) *view {
+func newView(self coord.VMID, zone string, heartbeat time.Duration, now func() time.Time) *view {
 	return &view{
-		self: self, hall: hall, now: now,
+		self: self, zone: zone, now: now,
 		tracker: membership.New(membership.Config{
-			Self: self, SuspectAfter: suspectBeats * heartbeat, Monitors: monitors,
+			Self: self, SuspectAfter: missedHeartbeatsLimit * heartbeat, Monitors: monitorsPerVM,
 		}),
 		dirty: make(chan struct{}, 1),
 	}
 }
 
-// monitors is how many VMs watch each VM's heartbeats; suspectBeats is how many
-// beats may be missing.
+// monitorsPerVM is how many VMs watch each VM's heartbeats. missedHeartbeatsLimit is how many
+// heartbeat intervals may pass without a heartbeat before a VM becomes suspect.
 const (
-	monitors     = 3
-	suspectBeats = 3
+	monitorsPerVM         = 3
+	missedHeartbeatsLimit = 3
 )
 
 func (v *view) markDirty() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// applyList takes a published list and returns the VMs that it dropped.
+// applyList applies a published list and returns the VMs that are no longer on it.
 func (v *view) applyList(l *schema.VMList) []coord.VMID {
 	listed := make([]membership.ListedVM, 0, len(l.Vms))
 	for _, vm := range l.Vms {
@@ -64,8 +64,8 @@
 	return dropped
 }
 
-// heard takes a sign of life; it returns false when nothing changed.
-func (v *view) heard(h *schema.Heartbeat) bool {
+// handleHeartbeat applies a heartbeat and reports whether the view changed.
+func (v *view) handleHeartbeat(h *schema.Heartbeat) bool {
 	v.mu.Lock()
 	changed := v.tracker.HandleHeartbeat(v.now(), coord.VMID(h.Vm), h.Incarnation, h.Leaving)
 	v.mu.Unlock()
@@ -75,7 +75,7 @@
 	return changed
 }
 
-func (v *view) suspected(id coord.VMID, incarnation uint64) bool {
+func (v *view) handleSuspicion(id coord.VMID, incarnation uint64) bool {
 	v.mu.Lock()
 	changed := v.tracker.HandleSuspicion(v.now(), id, incarnation)
 	v.mu.Unlock()
@@ -85,15 +85,15 @@
 	return changed
 }
 
-// silentFor returns the VMs that have been suspect for at least d.
-func (v *view) silentFor(d time.Duration) []coord.VMID {
+// suspectsOlderThan returns the VMs that have been suspect for at least d.
+func (v *view) suspectsOlderThan(d time.Duration) []coord.VMID {
 	now := v.now()
 	return ids(v.members(), func(m *membership.Member) bool {
 		return m.State == membership.Suspect && now.Sub(m.SuspectSince) >= d
 	})
 }
 
-// tick returns the VMs that have just become suspect, as copies.
+// tick returns copies of the VMs that have become suspect since the last tick.
 func (v *view) tick() []membership.Member {
 	v.mu.Lock()
 	var out []membership.Member
@@ -120,7 +120,8 @@
 	return v.leaving
 }
 
-// members returns copies of the listed VMs, this one leaving when it is.
+// members returns copies of the listed VMs. This VM is marked as leaving once setLeaving was
+// called.
 func (v *view) members() []*membership.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -135,7 +136,7 @@
 	return out
 }
 
-// address returns a VM's peer address, or "".
+// address returns a VM's peer address, or "" if the VM is not listed.
 func (v *view) address(id coord.VMID) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -145,7 +146,7 @@
 	return ""
 }
 
-// alive reports whether a VM's process of that incarnation may still act.
+// alive reports whether a VM's process of the given incarnation may still be active.
 func (v *view) alive(id coord.VMID, incarnation uint64) bool {
 	if id == v.self {
 		return true
@@ -156,7 +157,7 @@
 	return m != nil && m.State != membership.Suspect && m.Incarnation <= incarnation
 }
 
-func (v *view) myMonitors() []coord.VMID {
+func (v *view) ownMonitors() []coord.VMID {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.tracker.MonitorsOf(v.self)
@@ -177,12 +178,12 @@
 	return out
 }
 
-// watchersPerHall is how many VMs of a hall read the platform.
-const watchersPerHall = 2
+// watchersPerZone is how many VMs of an availability zone poll the platform.
+const watchersPerZone = 2
 
-// IsWatcher reports whether this VM reads the platform for its hall.
+// IsWatcher reports whether this VM polls the platform for its zone.
 func (v *view) IsWatcher() bool {
-	for _, id := range watchers(v.members(), v.hall, watchersPerHall) {
+	for _, id := range watchers(v.members(), v.zone, watchersPerZone) {
 		if id == v.self {
 			return true
 		}
@@ -190,34 +191,34 @@
 	return false
 }
 
-// watchers returns the first n VMs of a hall that read the platform.
-func watchers(members []*membership.Member, hall string, n int) []coord.VMID {
-	var in []*membership.Member
+// watchers returns the first n VMs of a zone, by rendezvous hash, that poll the platform.
+func watchers(members []*membership.Member, zone string, n int) []coord.VMID {
+	var live []*membership.Member
 	var hashes []uint64
 	for _, m := range members {
-		if m.Zone == hall && m.State == membership.Live {
-			in = append(in, m)
+		if m.Zone == zone && m.State == membership.Live {
+			live = append(live, m)
 			hashes = append(hashes, rendezvous.Hash(string(m.ID)))
 		}
 	}
 	best := make([]int, n)
-	count := rendezvous.Top(hashes, rendezvous.Hash(hall), best)
+	count := rendezvous.Top(hashes, rendezvous.Hash(zone), best)
 	out := make([]coord.VMID, 0, count)
 	for _, i := range best[:count] {
-		out = append(out, in[i].ID)
+		out = append(out, live[i].ID)
 	}
 	return out
 }
 
-// PeersToNotify returns the VMs that a watcher tells of a new version: those of its
-// hall, and the first watcher of each other hall.
+// PeersToNotify returns the VMs that a watcher notifies of a new version: those of its own zone,
+// and the first watcher of each other zone.
 func (v *view) PeersToNotify() []coord.VMID {
 	if !v.IsWatcher() {
 		return nil
 	}
 	members := v.members()
-	out := ids(members, func(m *membership.Member) bool { return m.Zone == v.hall && m.ID != v.self })
-	seen := map[string]bool{v.hall: true}
+	out := ids(members, func(m *membership.Member) bool { return m.Zone == v.zone && m.ID != v.self })
+	seen := map[string]bool{v.zone: true}
 	for _, m := range members {
 		if !seen[m.Zone] {
 			seen[m.Zone] = true
--- a/internal/owner/execute.go
+++ b/internal/owner/execute.go
@@ -15,34 +15,35 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// executions is how often a request is given to the target: again once when the
-// target says that the adapter is not there.
-const executions = 2
+// maxExecutions bounds how often a request is executed at the target: a second time only if the
+// target reports that the adapter is not loaded.
+const maxExecutions = 2
 
-// startingRetry is when a caller may come back to an owner that is taking over.
-const startingRetry = 250 * time.Millisecond
+// startingRetryDelay is the retry delay for a caller whose request reaches an owner that is still
+// acquiring the target.
+const startingRetryDelay = 250 * time.Millisecond
 
-func (u *unit) execute(ctx context.Context, f *schema.Forward, sink forward.Sink) forward.Result {
+func (t *ownedTarget) execute(ctx context.Context, f *schema.Forward, sink forward.Sink) forward.Result {
 	var r forward.Result
-	for range executions {
-		r = u.executeOnce(ctx, f, sink)
+	for range maxExecutions {
+		r = t.executeOnce(ctx, f, sink)
 		if r.Failure == nil || r.Failure.Code != target.EngineNotLoaded {
 			break
 		}
-		u.doubt()
+		t.reconcileSlots()
 	}
-	r.Hint = u.hint(f)
+	r.Hint = t.loadHint(f)
 	return r
 }
 
-func (u *unit) executeOnce(ctx context.Context, f *schema.Forward, sink forward.Sink) forward.Result {
+func (t *ownedTarget) executeOnce(ctx context.Context, f *schema.Forward, sink forward.Sink) forward.Result {
 	ref := coord.Adapter{Name: f.Adapter, Version: f.AdapterVersion}
-	p, refusal := u.submit(ctx, ref)
+	p, refusal := t.submit(ctx, ref)
 	if refusal != nil {
 		return *refusal
 	}
-	began := u.now()
-	act, ok := u.await(ctx, p)
+	began := t.now()
+	act, ok := t.await(ctx, p)
 	if !ok {
 		return forward.Fail(forward.CodeTimeout, http.StatusGatewayTimeout,
 			schema.Outcome_OUTCOME_NOT_RUN, 0, "the deadline passed, or the caller left, in the queue")
@@ -50,70 +51,70 @@
 	if act.Kind == dispatch.ActRefuse {
 		return refuse(act.Cause.String(), act.RetryAfter, "the target cannot take the request")
 	}
-	u.noteStall(u.now().Sub(began))
-	return u.run(ctx, f, p, act, sink)
+	t.recordStall(t.now().Sub(began))
+	return t.run(ctx, f, p, act, sink)
 }
 
-func (u *unit) noteStall(d time.Duration) {
+func (t *ownedTarget) recordStall(d time.Duration) {
 	if d < time.Millisecond {
 		return
 	}
-	u.owner.cfg.Metrics.StalledRequests.Add(1)
-	metrics.AddMillis(u.owner.cfg.Metrics.LoadStallMillis, d)
+	t.owner.cfg.Metrics.StalledRequests.Add(1)
+	metrics.AddMillis(t.owner.cfg.Metrics.LoadStallMillis, d)
 }
 
-// pending is a request that was given to the dispatcher of one tenure.
-type pending struct {
-	ref      coord.Adapter
-	handle   uint64
-	dispatch *dispatch.Dispatcher
-	// fence is the number of the tenure. The request is sent under no other:
-	// what was pinned for it is not pinned in the next one.
-	fence  uint64
-	signal chan dispatch.Action
+// pendingRequest is a request that was submitted to the dispatcher of one ownership term.
+type pendingRequest struct {
+	ref        coord.Adapter
+	handle     uint64
+	dispatcher *dispatch.Dispatcher
+	// fencingToken is the token of the ownership term. The request is sent under no other token,
+	// because the adapter slot that is pinned for it is not pinned in the next term.
+	fencingToken uint64
+	signal       chan dispatch.Action
 }
 
-// submit checks the request against the bundle in force and queues it.
-func (u *unit) submit(ctx context.Context, ref coord.Adapter) (*pending, *forward.Result) {
+// submit checks the request against the current bundle and queues it.
+func (t *ownedTarget) submit(ctx context.Context, ref coord.Adapter) (*pendingRequest, *forward.Result) {
 	deadline, _ := ctx.Deadline()
-	u.mu.Lock()
-	model, refusal := u.admit(ref)
+	t.mu.Lock()
+	model, refusal := t.admit(ref)
 	if refusal != nil {
-		u.mu.Unlock()
+		t.mu.Unlock()
 		return nil, refusal
 	}
-	u.nextID++
-	p := &pending{
-		ref: ref, handle: u.nextID, dispatch: u.dispatch, fence: u.serving,
+	t.nextID++
+	p := &pendingRequest{
+		ref: ref, handle: t.nextID, dispatcher: t.dispatcher, fencingToken: t.servingToken,
 		signal: make(chan dispatch.Action, 1),
 	}
-	u.waiters[p.handle] = p.signal
-	acts := u.dispatch.Submit(u.now(), dispatch.Request{
+	t.waiters[p.handle] = p.signal
+	acts := t.dispatcher.Submit(t.now(), dispatch.Request{
 		Handle: p.handle, Adapter: model.Adapter, Rank: model.Rank, Deadline: deadline,
 	})
-	u.mu.Unlock()
-	u.runDispatch(acts)
+	t.mu.Unlock()
+	t.runDispatchActions(acts)
 	return p, nil
 }
 
-// mayServe reports whether the tenure of the dispatcher in force still lasts.
-// u.mu is held.
-func (u *unit) mayServe() bool {
-	return u.dispatch != nil && u.machine.MayStart() && u.machine.FencingToken() == u.serving
+// mayServe reports whether the ownership term of the current dispatcher is still valid. t.mu must
+// be held.
+func (t *ownedTarget) mayServe() bool {
+	return t.dispatcher != nil && t.machine.MayStart() && t.machine.FencingToken() == t.servingToken
 }
 
-// admit refuses what this VM may not or cannot send. u.mu is held.
-func (u *unit) admit(ref coord.Adapter) (catalog.Model, *forward.Result) {
-	if !u.mayServe() {
-		r := refuse(forward.CodeOwnerStarting, startingRetry, "ownership of the target is "+u.machine.Phase().String())
+// admit rejects requests that this VM is not allowed or not able to send. t.mu must be held.
+func (t *ownedTarget) admit(ref coord.Adapter) (catalog.Model, *forward.Result) {
+	if !t.mayServe() {
+		r := refuse(forward.CodeOwnerStarting, startingRetryDelay, "ownership of the target is "+t.machine.Phase().String())
 		return catalog.Model{}, &r
 	}
-	if u.leaving {
+	if t.leaving {
 		r := refuse(forward.CodeTargetLeaving, 0, "the target is leaving")
 		return catalog.Model{}, &r
 	}
-	model, kind := u.catalog.Resolve(ref.Model())
-	if kind != catalog.OK || model.Base != u.spec.Base {
+	model, kind := t.catalog.Resolve(ref.Model())
+	if kind != catalog.OK || model.Base != t.spec.Base {
 		r := forward.Fail(forward.CodeUnknownModel, http.StatusNotFound,
 			schema.Outcome_OUTCOME_NOT_RUN, 0, "the bundle in force does not hold "+ref.Model()+" for this target")
 		return catalog.Model{}, &r
@@ -121,82 +122,82 @@
 	return model, nil
 }
 
-// await waits for the dispatcher's word. When the caller goes first, the request
-// is withdrawn; if it has just been started, it is ended unsent.
-func (u *unit) await(ctx context.Context, p *pending) (dispatch.Action, bool) {
+// await waits for the dispatcher's action. If the caller disconnects first, the request is
+// withdrawn; if the dispatcher has just started it, it is finished without being sent.
+func (t *ownedTarget) await(ctx context.Context, p *pendingRequest) (dispatch.Action, bool) {
 	select {
 	case act := <-p.signal:
 		return act, true
 	case <-ctx.Done():
 	}
-	u.mu.Lock()
-	delete(u.waiters, p.handle)
-	u.mu.Unlock()
-	u.feed(p.dispatch, func(now time.Time) []dispatch.Action {
-		acts := p.dispatch.Cancel(now, p.handle)
-		return append(acts, p.dispatch.Finished(now, p.handle)...)
+	t.mu.Lock()
+	delete(t.waiters, p.handle)
+	t.mu.Unlock()
+	t.applyEvent(p.dispatcher, func(now time.Time) []dispatch.Action {
+		acts := p.dispatcher.Cancel(now, p.handle)
+		return append(acts, p.dispatcher.Finished(now, p.handle)...)
 	})
 	return dispatch.Action{}, false
 }
 
-// run sends a started request, if the tenure that started it still lasts.
-func (u *unit) run(ctx context.Context, f *schema.Forward, p *pending, act dispatch.Action, sink forward.Sink) forward.Result {
-	u.mu.Lock()
-	ok := u.mayServe() && u.serving == p.fence
+// run sends a started request, provided that the ownership term that started it is still valid.
+func (t *ownedTarget) run(ctx context.Context, f *schema.Forward, p *pendingRequest, act dispatch.Action, sink forward.Sink) forward.Result {
+	t.mu.Lock()
+	ok := t.mayServe() && t.servingToken == p.fencingToken
 	if ok {
-		u.machine.RequestStarted()
+		t.machine.RequestStarted()
 	}
-	engine := u.engine
-	u.mu.Unlock()
+	engine := t.engine
+	t.mu.Unlock()
 	if !ok {
-		u.finished(p)
+		t.requestFinished(p)
 		return refuse(forward.CodeNotOwner, 0, "the target went to another owner")
 	}
 	r := engine.Run(ctx, target.Run{
-		Forward: f, Name: act.Name, Model: p.ref.Model(), FencingToken: p.fence, Attempt: &attempt.Attempt{},
+		Forward: f, Name: act.Name, Model: p.ref.Model(), FencingToken: p.fencingToken, Attempt: &attempt.Attempt{},
 	}, sink)
 	if r.Failure != nil && r.Failure.Outcome == schema.Outcome_OUTCOME_UNKNOWN {
-		u.brokenOff(p)
+		t.requestAborted(p)
 	} else {
-		u.ended(p)
+		t.requestEnded(p)
 	}
 	if r.Failure != nil && r.Failure.Code == target.EngineStaleToken {
-		u.orderFailed(p.fence, &target.StaleTokenError{})
+		t.orderFailed(p.fencingToken, &target.StaleTokenError{})
 	}
 	return r
 }
 
-// ended lets go of a request that the target is done with.
-func (u *unit) ended(p *pending) {
-	u.mu.Lock()
-	u.machine.RequestEnded(u.now())
-	u.mu.Unlock()
-	u.finished(p)
+// requestEnded releases a request that the target no longer works on.
+func (t *ownedTarget) requestEnded(p *pendingRequest) {
+	t.mu.Lock()
+	t.machine.RequestEnded(t.now())
+	t.mu.Unlock()
+	t.requestFinished(p)
 }
 
-// brokenOff does the same for a request that the target may still be at work on.
-func (u *unit) brokenOff(p *pending) {
-	u.mu.Lock()
-	u.machine.RequestAborted(u.now())
-	u.mu.Unlock()
-	u.feed(p.dispatch, func(now time.Time) []dispatch.Action { return p.dispatch.RequestAborted(now, p.handle) })
+// requestAborted releases a request that the target may still be working on.
+func (t *ownedTarget) requestAborted(p *pendingRequest) {
+	t.mu.Lock()
+	t.machine.RequestAborted(t.now())
+	t.mu.Unlock()
+	t.applyEvent(p.dispatcher, func(now time.Time) []dispatch.Action { return p.dispatcher.RequestAborted(now, p.handle) })
 }
 
-// finished unpins what a request used that is not sent, or that the target is done
-// with.
-func (u *unit) finished(p *pending) {
-	u.feed(p.dispatch, func(now time.Time) []dispatch.Action { return p.dispatch.Finished(now, p.handle) })
+// requestFinished unpins the adapter of a request that was not sent or that the target no longer
+// works on.
+func (t *ownedTarget) requestFinished(p *pendingRequest) {
+	t.applyEvent(p.dispatcher, func(now time.Time) []dispatch.Action { return p.dispatcher.Finished(now, p.handle) })
 }
 
-// hint tells the sender how loaded the target is.
-func (u *unit) hint(f *schema.Forward) *schema.LoadHint {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	h := &schema.LoadHint{Target: string(u.id), Batch: uint32(u.spec.Batch), Leaving: u.leaving}
-	if u.dispatch != nil {
-		h.Running, h.Queued = uint32(u.dispatch.Running()), uint32(u.dispatch.Queued())
-		model, _ := u.catalog.Resolve(coord.Adapter{Name: f.Adapter, Version: f.AdapterVersion}.Model())
-		h.SameAdapter = uint32(u.dispatch.AdapterRequests(model.Adapter))
+// loadHint returns the target's load, for the VM that sent the request.
+func (t *ownedTarget) loadHint(f *schema.Forward) *schema.LoadHint {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	h := &schema.LoadHint{Target: string(t.id), Batch: uint32(t.spec.Batch), Leaving: t.leaving}
+	if t.dispatcher != nil {
+		h.Running, h.Queued = uint32(t.dispatcher.Running()), uint32(t.dispatcher.Queued())
+		model, _ := t.catalog.Resolve(coord.Adapter{Name: f.Adapter, Version: f.AdapterVersion}.Model())
+		h.SameAdapter = uint32(t.dispatcher.AdapterRequests(model.Adapter))
 	}
 	return h
 }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -12,73 +12,73 @@
 	"github.com/junctionfold/junctionfold/internal/target"
 )
 
-var errStepped = errors.New("this VM does not own the target any more")
+var errNotOwner = errors.New("this VM no longer owns the target")
 
-func (u *unit) runDispatch(acts []dispatch.Action) {
+func (t *ownedTarget) runDispatchActions(acts []dispatch.Action) {
 	for _, a := range acts {
-		u.runDispatchAction(a)
+		t.runDispatchAction(a)
 	}
 }
 
-func (u *unit) runDispatchAction(a dispatch.Action) {
+func (t *ownedTarget) runDispatchAction(a dispatch.Action) {
 	switch a.Kind {
 	case dispatch.ActStart, dispatch.ActRefuse:
-		u.wake(a)
+		t.notifyWaiter(a)
 	case dispatch.ActRequestPermit:
-		u.submitOrder(func(d *dispatch.Dispatcher) { u.askTurn(d, a.Priority) })
+		t.submitOrder(func(d *dispatch.Dispatcher) { t.acquirePermit(d, a.Priority) })
 	case dispatch.ActRaisePermit:
-		u.owner.pool.Submit(func() { u.owner.cfg.Permits.RaisePriority(u.id, a.Priority) })
+		t.owner.pool.Submit(func() { t.owner.cfg.Permits.RaisePriority(t.id, a.Priority) })
 	case dispatch.ActReturnPermit:
-		u.giveTurn()
+		t.returnPermit()
 	case dispatch.ActLoad:
-		u.submitOrder(func(d *dispatch.Dispatcher) { u.load(d, a) })
+		t.submitOrder(func(d *dispatch.Dispatcher) { t.load(d, a) })
 	case dispatch.ActUnload:
-		u.submitOrder(func(d *dispatch.Dispatcher) { u.unload(d, a.Name) })
+		t.submitOrder(func(d *dispatch.Dispatcher) { t.unload(d, a.Name) })
 	}
 }
 
-// submitOrder runs work for the dispatcher in force now. When the work ends,
-// another tenure may have begun with a dispatcher of its own; feed leaves that
-// one alone.
-func (u *unit) submitOrder(work func(*dispatch.Dispatcher)) {
-	u.mu.Lock()
-	d := u.dispatch
-	u.mu.Unlock()
-	u.owner.pool.Submit(func() { work(d) })
+// submitOrder runs work for the current dispatcher on the worker pool. By the time work ends, a new
+// ownership term may have begun with its own dispatcher; applyEvent ignores events of the earlier
+// one.
+func (t *ownedTarget) submitOrder(work func(*dispatch.Dispatcher)) {
+	t.mu.Lock()
+	d := t.dispatcher
+	t.mu.Unlock()
+	t.owner.pool.Submit(func() { work(d) })
 }
 
-// feed gives an event to a dispatcher if it is still the one in force, and runs
-// what comes of it. It returns false for one of an earlier tenure.
-func (u *unit) feed(d *dispatch.Dispatcher, event func(now time.Time) []dispatch.Action) bool {
-	u.mu.Lock()
-	current := d != nil && u.dispatch == d
+// applyEvent applies an event to a dispatcher if that is still the current one, and runs the
+// resulting actions. It returns false for a dispatcher of an earlier ownership term.
+func (t *ownedTarget) applyEvent(d *dispatch.Dispatcher, event func(now time.Time) []dispatch.Action) bool {
+	t.mu.Lock()
+	current := d != nil && t.dispatcher == d
 	var acts []dispatch.Action
 	if current {
-		acts = event(u.now())
+		acts = event(t.now())
 	}
-	u.mu.Unlock()
-	u.runDispatch(acts)
+	t.mu.Unlock()
+	t.runDispatchActions(acts)
 	return current
 }
 
-func (u *unit) wake(a dispatch.Action) {
-	u.mu.Lock()
-	c := u.waiters[a.Handle]
-	delete(u.waiters, a.Handle)
-	u.mu.Unlock()
+func (t *ownedTarget) notifyWaiter(a dispatch.Action) {
+	t.mu.Lock()
+	c := t.waiters[a.Handle]
+	delete(t.waiters, a.Handle)
+	t.mu.Unlock()
 	if c != nil {
 		c <- a
 	}
 }
 
-func (u *unit) askTurn(d *dispatch.Dispatcher, value float64) {
-	done, granted, retry := u.owner.cfg.Permits.Acquire(context.Background(), u.id, value)
+func (t *ownedTarget) acquirePermit(d *dispatch.Dispatcher, priority float64) {
+	done, granted, retryAfter := t.owner.cfg.Permits.Acquire(context.Background(), t.id, priority)
 	if !granted {
-		u.feed(d, func(now time.Time) []dispatch.Action { return d.PermitDenied(now, retry) })
+		t.applyEvent(d, func(now time.Time) []dispatch.Action { return d.PermitDenied(now, retryAfter) })
 		return
 	}
-	current := u.feed(d, func(now time.Time) []dispatch.Action {
-		u.turnDone = done
+	current := t.applyEvent(d, func(now time.Time) []dispatch.Action {
+		t.permitDone = done
 		return d.PermitGranted(now)
 	})
 	if !current {
@@ -86,75 +86,75 @@
 	}
 }
 
-func (u *unit) giveTurn() {
-	u.mu.Lock()
-	done := u.turnDone
-	u.turnDone = nil
-	u.mu.Unlock()
+func (t *ownedTarget) returnPermit() {
+	t.mu.Lock()
+	done := t.permitDone
+	t.permitDone = nil
+	t.mu.Unlock()
 	if done != nil {
-		u.owner.pool.Submit(done)
+		t.owner.pool.Submit(done)
 	}
 }
 
-// order returns the engine and number to order under. ok is false when this VM
-// may order the target no more.
-func (u *unit) order() (engine *target.Engine, fence uint64, ok bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.engine, u.machine.FencingToken(), u.machine.MayStart()
+// engineAndToken returns the engine and the fencing token for an order. ok is false if this VM may
+// no longer send orders to the target.
+func (t *ownedTarget) engineAndToken() (engine *target.Engine, token uint64, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.engine, t.machine.FencingToken(), t.machine.MayStart()
 }
 
-func (u *unit) load(d *dispatch.Dispatcher, a dispatch.Action) {
-	engine, fence, ok := u.order()
-	began := u.now()
-	err := errStepped
+func (t *ownedTarget) load(d *dispatch.Dispatcher, a dispatch.Action) {
+	engine, token, ok := t.engineAndToken()
+	began := t.now()
+	err := errNotOwner
 	if ok {
-		u.owner.cfg.Metrics.Loads.Add(1)
-		err = engine.Load(context.Background(), fence, a.Name, a.Adapter.Model())
+		t.owner.cfg.Metrics.Loads.Add(1)
+		err = engine.Load(context.Background(), token, a.Name, a.Adapter.Model())
 	}
-	u.noteLoad(a, fence, u.now().Sub(began), err)
-	u.feed(d, func(now time.Time) []dispatch.Action {
+	t.recordLoad(a, token, t.now().Sub(began), err)
+	t.applyEvent(d, func(now time.Time) []dispatch.Action {
 		if err == nil {
 			return d.Loaded(now, a.Adapter)
 		}
 		return d.LoadFailed(now, a.Adapter)
 	})
 	if err != nil {
-		u.doubt()
+		t.reconcileSlots()
 	}
 }
 
-// doubt reads the target's slots anew.
-func (u *unit) doubt() {
-	u.mu.Lock()
-	u.doubted = true
-	u.mu.Unlock()
-	u.poll()
+// reconcileSlots reads the target's state and reconciles the slots with it.
+func (t *ownedTarget) reconcileSlots() {
+	t.mu.Lock()
+	t.needsReconcile = true
+	t.mu.Unlock()
+	t.poll()
 }
 
-func (u *unit) noteLoad(a dispatch.Action, fence uint64, took time.Duration, err error) {
-	m := u.owner.cfg.Metrics
+func (t *ownedTarget) recordLoad(a dispatch.Action, token uint64, took time.Duration, err error) {
+	m := t.owner.cfg.Metrics
 	metrics.AddMillis(m.LoadMillis, took)
 	fields := log.Fields{"adapter": a.Adapter.String(), "took_ms": took.Milliseconds()}
 	if err == nil {
-		u.owner.noteLoadTime(took)
-		u.log().WithFields(fields).Info("adapter_loaded")
+		t.owner.recordLoadTime(took)
+		t.log().WithFields(fields).Info("adapter_loaded")
 		return
 	}
 	m.LoadsFailed.Add(1)
-	u.log().WithFields(fields).WithError(err).Warn("adapter_load_failed")
-	u.orderFailed(fence, err)
+	t.log().WithFields(fields).WithError(err).Warn("adapter_load_failed")
+	t.orderFailed(token, err)
 }
 
-func (u *unit) unload(d *dispatch.Dispatcher, name string) {
-	engine, fence, ok := u.order()
-	err := errStepped
+func (t *ownedTarget) unload(d *dispatch.Dispatcher, name string) {
+	engine, token, ok := t.engineAndToken()
+	err := errNotOwner
 	if ok {
-		u.owner.cfg.Metrics.Unloads.Add(1)
-		err = engine.Unload(context.Background(), fence, name)
+		t.owner.cfg.Metrics.Unloads.Add(1)
+		err = engine.Unload(context.Background(), token, name)
 	}
 	if err != nil {
-		u.orderFailed(fence, err)
+		t.orderFailed(token, err)
 	}
-	u.feed(d, func(now time.Time) []dispatch.Action { return d.Unloaded(now, name, err == nil) })
+	t.applyEvent(d, func(now time.Time) []dispatch.Action { return d.Unloaded(now, name, err == nil) })
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,11 +1,11 @@
-// Package owner runs the targets that this VM owns. It drives the ownership and
-// dispatch state machines of the coordination library: it feeds them the
-// targets' answers and the time, and carries out their actions.
+// Package owner runs the targets that this VM owns. It drives the ownership and dispatch state
+// machines of the coordination library: it passes them the targets' answers and the time, and
+// executes the actions that they return.
 //
-// Lock order: Owner.mu, then unit.mu. Actions run after both are let go. Orders
-// and reads of targets run on a worker pool; a request runs on the goroutine
-// that brought it, so that a long stream holds no worker that a short order
-// needs (docs/DECISIONS.md, "Pools and streams").
+// Lock order: Owner.mu before ownedTarget.mu. Actions run after both are released. Orders and reads
+// of targets run on a worker pool. A request runs on the goroutine that received it, so that a long
+// stream does not occupy a worker that a short order needs (docs/DECISIONS.md, "Pools and
+// streams").
 package owner
 
 import (
@@ -29,23 +29,22 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Permits gives load turns at the weight store.
+// Permits issues load permits for the weight store.
 type Permits interface {
-	// Acquire waits for a turn. When it is granted, done must be called once
-	// the load has ended; otherwise the load may be asked for again after
-	// retry.
-	Acquire(ctx context.Context, target coord.TargetID, value float64) (done func(), granted bool, retry time.Duration)
-	// RaisePriority changes the value of the target's ask that waits.
-	RaisePriority(target coord.TargetID, value float64)
+	// Acquire waits for a load permit. If the permit is granted, done must be called once the load
+	// has ended; otherwise the load may be requested again after retryAfter.
+	Acquire(ctx context.Context, target coord.TargetID, priority float64) (done func(), granted bool, retryAfter time.Duration)
+	// RaisePriority changes the priority of the target's waiting permit request.
+	RaisePriority(target coord.TargetID, priority float64)
 }
 
-// ReleaseClient asks other VMs whether they have let go of targets.
+// ReleaseClient queries other VMs for targets that they have released.
 type ReleaseClient interface {
-	// RequestRelease returns the claimed targets that vm has let go of.
+	// RequestRelease returns those of the claimed targets that vm has released.
 	RequestRelease(ctx context.Context, vm coord.VMID, claims []*schema.Claim) ([]*schema.Released, error)
 }
 
-// Config holds what an Owner works with.
+// Config holds the settings and dependencies of an Owner.
 type Config struct {
 	Self coord.VMID
 	// Incarnation of this process.
@@ -58,86 +57,87 @@
 	Log         log.Interface
 	Audit       *audit.Trail
 	Metrics     *metrics.Set
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 }
 
-// orderWorkers bounds the orders and reads that run at once. A load holds its
-// worker until it is resident, and a target has at most one.
+// orderWorkers bounds the orders and reads that run at once. A load occupies its worker until the
+// adapter is resident, and a target has at most one load in progress.
 const orderWorkers = 256
 
-// Owner is the owner of some targets.
+// Owner manages the targets that this VM owns.
 type Owner struct {
 	cfg  Config
 	pool pond.Pool
 
-	mu    sync.Mutex
-	units map[coord.TargetID]*unit
-	peers []coord.VMID
-	// loadTime is the measured time of a load in nanoseconds, for targets that
-	// are taken over; zero until there was one.
-	loadTime atomic.Int64
+	mu      sync.Mutex
+	targets map[coord.TargetID]*ownedTarget
+	peers   []coord.VMID
+	// meanLoadTime is the exponentially weighted moving average of the load time, in nanoseconds.
+	// It is the initial estimate for targets that are taken over; zero until the first load.
+	meanLoadTime atomic.Int64
 }
 
-// New returns an Owner of nothing.
+// New returns an Owner without targets.
 func New(cfg Config) *Owner {
-	return &Owner{cfg: cfg, pool: pond.NewPool(orderWorkers), units: map[coord.TargetID]*unit{}}
+	return &Owner{cfg: cfg, pool: pond.NewPool(orderWorkers), targets: map[coord.TargetID]*ownedTarget{}}
 }
 
-// View is what ownership is decided from.
+// View is the input from which ownership is decided.
 type View struct {
 	Catalog *catalog.Catalog
 	Chooser *ownership.Chooser
 	// Peers are the other VMs of the published list.
 	Peers []coord.VMID
-	// Leaving says that this VM hands everything over.
+	// Leaving means that this VM hands over all its targets.
 	Leaving bool
 }
 
-// Apply takes a new view.
+// Apply applies a new view.
 func (o *Owner) Apply(v View) {
-	for u, wanted := range o.decide(v) {
-		u.want(wanted, v)
+	for t, desired := range o.desiredTargets(v) {
+		t.setDesired(desired, v)
 	}
 }
 
-// decide says for each unit whether this VM should own its target, and makes the
-// units that it lacks. A target that the bundle no longer holds is not wanted.
-func (o *Owner) decide(v View) map[*unit]bool {
+// desiredTargets returns each target with whether this VM should own it, and adds the targets that
+// it should own and does not track yet. A target that the bundle no longer contains is not desired.
+func (o *Owner) desiredTargets(v View) map[*ownedTarget]bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.peers = v.Peers
-	wanted := make(map[*unit]bool, len(o.units))
-	for _, u := range o.units {
-		wanted[u] = false
+	desired := make(map[*ownedTarget]bool, len(o.targets))
+	for _, t := range o.targets {
+		desired[t] = false
 	}
-	for id, t := range v.Catalog.Targets() {
-		if t.Kind != schema.TargetKind_TARGET_KIND_ENGINE || v.Leaving || v.Chooser.Owner(t.Hash, t.Hall) != o.cfg.Self {
+	for id, spec := range v.Catalog.Targets() {
+		if spec.Kind != schema.TargetKind_TARGET_KIND_ENGINE || v.Leaving || v.Chooser.Owner(spec.Hash, spec.Hall) != o.cfg.Self {
 			continue
 		}
-		if o.units[id] == nil {
-			o.units[id] = newUnit(o, t, v.Catalog)
+		if o.targets[id] == nil {
+			o.targets[id] = newOwnedTarget(o, spec, v.Catalog)
 		}
-		wanted[o.units[id]] = true
+		desired[o.targets[id]] = true
 	}
-	return wanted
+	return desired
 }
 
-// dropGone forgets the units of targets that are no more.
-func (o *Owner) dropGone() {
-	for _, u := range o.snapshot() {
-		if u.gone() {
+// removeObsolete removes the targets that the bundle no longer contains and that this VM has fully
+// released.
+func (o *Owner) removeObsolete() {
+	for _, t := range o.snapshot() {
+		if t.isObsolete() {
 			o.mu.Lock()
-			delete(o.units, u.id)
+			delete(o.targets, t.id)
 			o.mu.Unlock()
 		}
 	}
 }
 
-func (o *Owner) unit(id coord.TargetID) *unit {
+func (o *Owner) target(id coord.TargetID) *ownedTarget {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.units[id]
+	return o.targets[id]
 }
 
 func (o *Owner) otherPeers() []coord.VMID {
@@ -146,72 +146,73 @@
 	return o.peers
 }
 
-func (o *Owner) snapshot() []*unit {
+func (o *Owner) snapshot() []*ownedTarget {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := make([]*unit, 0, len(o.units))
-	for _, u := range o.units {
-		out = append(out, u)
+	out := make([]*ownedTarget, 0, len(o.targets))
+	for _, t := range o.targets {
+		out = append(out, t)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].id < out[j].id })
 	return out
 }
 
-// tickEvery is the time between two ticks, pollTicks how many ticks lie between
-// two reads of a target's state.
+// tickInterval is the time between two ticks. The state of a target is read every ticksPerPoll
+// ticks.
 const (
-	tickEvery = 100 * time.Millisecond
-	pollTicks = 10
+	tickInterval = 100 * time.Millisecond
+	ticksPerPoll = 10
 )
 
-// Run drives the units until the context ends.
+// Run drives the targets until the context ends.
 func (o *Owner) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			o.tick(n%pollTicks == 0)
+			o.tick(n%ticksPerPoll == 0)
 		}
 	}
 }
 
 func (o *Owner) tick(poll bool) {
 	peers := o.otherPeers()
-	for _, u := range o.snapshot() {
-		u.tick(peers, poll)
+	for _, t := range o.snapshot() {
+		t.tick(peers, poll)
 	}
 	if poll {
-		o.dropGone()
+		o.removeObsolete()
 	}
 }
 
 // Execute runs an attempt on a target that this VM owns.
 func (o *Owner) Execute(ctx context.Context, f *schema.Forward, sink forward.Sink) forward.Result {
-	u := o.unit(coord.TargetID(f.Target))
-	if u == nil {
+	t := o.target(coord.TargetID(f.Target))
+	if t == nil {
 		return refuse(forward.CodeNotOwner, 0, "this VM does not own the target")
 	}
-	return u.execute(ctx, f, sink)
+	return t.execute(ctx, f, sink)
 }
 
-// refuse is the result of an attempt that this VM did not send.
-func refuse(code string, retry time.Duration, message string) forward.Result {
-	return forward.Fail(code, http.StatusServiceUnavailable, schema.Outcome_OUTCOME_NOT_RUN, retry, message)
+// refuse returns the result of an attempt that this VM did not send.
+func refuse(code string, retryAfter time.Duration, message string) forward.Result {
+	return forward.Fail(code, http.StatusServiceUnavailable, schema.Outcome_OUTCOME_NOT_RUN, retryAfter, message)
 }
 
-// Release answers another VM's claims with the targets that are let go.
-func (o *Owner) Release(claims []*schema.Claim) []*schema.Released {
+// HandleReleaseRequest answers another VM's claims with the claimed targets that this VM has
+// released.
+func (o *Owner) HandleReleaseRequest(claims []*schema.Claim) []*schema.Released {
 	var out []*schema.Released
 	for _, c := range claims {
-		u := o.unit(coord.TargetID(c.Target))
-		if u == nil {
+		t := o.target(coord.TargetID(c.Target))
+		if t == nil {
 			out = append(out, &schema.Released{Target: c.Target})
 			continue
 		}
-		if released, inUse := u.release(c.Fence); released {
+		if released, inUse := t.handleReleaseRequest(c.Fence); released {
 			out = append(out, &schema.Released{Target: c.Target, InUse: inUse})
 		}
 	}
@@ -221,8 +222,8 @@
 // Running returns how many requests run or wait at owned targets.
 func (o *Owner) Running() int {
 	n := 0
-	for _, u := range o.snapshot() {
-		n += u.busy()
+	for _, t := range o.snapshot() {
+		n += t.openRequests()
 	}
 	return n
 }
@@ -230,21 +231,21 @@
 // Status returns the state of each owned target.
 func (o *Owner) Status() []*schema.TargetStatus {
 	var out []*schema.TargetStatus
-	for _, u := range o.snapshot() {
-		out = append(out, u.status())
+	for _, t := range o.snapshot() {
+		out = append(out, t.status())
 	}
 	return out
 }
 
-// noteLoadTime keeps a running mean. A measurement lost between two goroutines
-// does no harm.
-func (o *Owner) noteLoadTime(took time.Duration) {
-	mean := time.Duration(o.loadTime.Load())
+// recordLoadTime updates the average load time. If two goroutines update it at once, one sample may
+// be lost, which is harmless.
+func (o *Owner) recordLoadTime(took time.Duration) {
+	mean := time.Duration(o.meanLoadTime.Load())
 	if mean == 0 {
 		mean = took
 	}
-	o.loadTime.Store(int64(dispatch.UpdateEWMA(mean, took)))
+	o.meanLoadTime.Store(int64(dispatch.UpdateEWMA(mean, took)))
 }
 
-// Close waits for orders that run.
+// Close waits for the orders in progress.
 func (o *Owner) Close() { o.pool.StopAndWait() }
--- a/internal/owner/tenure.go
+++ b/internal/owner/tenure.go
@@ -15,157 +15,159 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-func (u *unit) runOwnership(acts []ownership.Action) {
+func (t *ownedTarget) runOwnershipActions(acts []ownership.Action) {
 	for _, a := range acts {
-		u.runOwnershipAction(a)
+		t.runOwnershipAction(a)
 	}
 }
 
-func (u *unit) runOwnershipAction(a ownership.Action) {
+func (t *ownedTarget) runOwnershipAction(a ownership.Action) {
 	switch a.Kind {
 	case ownership.ActRead:
-		u.owner.pool.Submit(u.read)
+		t.owner.pool.Submit(t.readState)
 	case ownership.ActClaim:
-		u.owner.pool.Submit(func() { u.claim(a.FencingToken) })
+		t.owner.pool.Submit(func() { t.claim(a.FencingToken) })
 	case ownership.ActRequestRelease:
-		u.owner.pool.Submit(func() { u.askRelease(a.VM, a.FencingToken) })
+		t.owner.pool.Submit(func() { t.requestRelease(a.VM, a.FencingToken) })
 	case ownership.ActServe:
-		u.serve(a)
+		t.serve(a)
 	case ownership.ActSetHolds:
-		u.setHolds(a)
+		t.setHolds(a)
 	case ownership.ActStop:
-		u.stop()
+		t.stop()
 	}
 }
 
-func (u *unit) read() {
-	state, err := u.engineNow().State(context.Background())
+func (t *ownedTarget) readState() {
+	state, err := t.currentEngine().State(context.Background())
 	if err != nil {
-		u.log().WithError(err).Debug("target_unreadable")
+		t.log().WithError(err).Debug("target_unreadable")
 		return
 	}
-	u.mu.Lock()
-	acts := u.machine.HandleReport(u.now(), ownership.Report{FencingToken: state.FencingToken, Resident: state.Resident})
-	u.mu.Unlock()
-	u.runOwnership(acts)
+	t.mu.Lock()
+	acts := t.machine.HandleReport(t.now(), ownership.Report{FencingToken: state.FencingToken, Resident: state.Resident})
+	t.mu.Unlock()
+	t.runOwnershipActions(acts)
 }
 
-func (u *unit) engineNow() *target.Engine {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.engine
+func (t *ownedTarget) currentEngine() *target.Engine {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.engine
 }
 
-// claim raises the target's fencing number and reads what it holds afterwards.
-func (u *unit) claim(fence uint64) {
-	engine := u.engineNow()
-	if err := engine.Claim(context.Background(), fence); err != nil {
-		u.orderFailed(fence, err)
+// claim raises the target's fencing token and then reads the target's state.
+func (t *ownedTarget) claim(token uint64) {
+	engine := t.currentEngine()
+	if err := engine.Claim(context.Background(), token); err != nil {
+		t.orderFailed(token, err)
 		return
 	}
 	state, err := engine.State(context.Background())
 	if err != nil {
-		u.log().WithError(err).Debug("target_unreadable")
+		t.log().WithError(err).Debug("target_unreadable")
 		return
 	}
-	u.mu.Lock()
-	u.boot = state.BootID
-	u.leaving = state.Leaving || u.spec.Leaving
-	acts := u.machine.HandleClaimAccepted(u.now(), fence, ownership.Report{FencingToken: state.FencingToken, Resident: state.Resident})
-	u.mu.Unlock()
-	u.runOwnership(acts)
+	t.mu.Lock()
+	t.bootID = state.BootID
+	t.leaving = state.Leaving || t.spec.Leaving
+	acts := t.machine.HandleClaimAccepted(t.now(), token, ownership.Report{FencingToken: state.FencingToken, Resident: state.Resident})
+	t.mu.Unlock()
+	t.runOwnershipActions(acts)
 }
 
-// orderFailed steps down when the target refused the order's number.
-func (u *unit) orderFailed(fence uint64, err error) {
-	u.log().WithError(err).WithField("fence", fence).Warn("order_failed")
+// orderFailed logs a failed order, and steps down if the target refused its fencing token.
+func (t *ownedTarget) orderFailed(token uint64, err error) {
+	t.log().WithError(err).WithField("fence", token).Warn("order_failed")
 	var stale *target.StaleTokenError
 	if !errors.As(err, &stale) {
 		return
 	}
-	u.mu.Lock()
-	acts := u.machine.HandleRejection(u.now(), fence, stale.Seen)
-	u.mu.Unlock()
-	u.runOwnership(acts)
+	t.mu.Lock()
+	acts := t.machine.HandleRejection(t.now(), token, stale.Seen)
+	t.mu.Unlock()
+	t.runOwnershipActions(acts)
 }
 
-func (u *unit) askRelease(vm coord.VMID, fence uint64) {
+func (t *ownedTarget) requestRelease(vm coord.VMID, token uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	claim := &schema.Claim{Target: string(u.id), Fence: fence}
-	released, err := u.owner.cfg.Releases.RequestRelease(ctx, vm, []*schema.Claim{claim})
+	claim := &schema.Claim{Target: string(t.id), Fence: token}
+	released, err := t.owner.cfg.Releases.RequestRelease(ctx, vm, []*schema.Claim{claim})
 	if err != nil || len(released) == 0 {
 		return
 	}
-	u.mu.Lock()
-	acts := u.machine.HandleRelease(vm, fence, released[0].InUse)
-	u.mu.Unlock()
-	u.runOwnership(acts)
+	t.mu.Lock()
+	acts := t.machine.HandleRelease(vm, token, released[0].InUse)
+	t.mu.Unlock()
+	t.runOwnershipActions(acts)
 }
 
-// releaseTimeout bounds one ask for a release; it is repeated until answered.
+// releaseTimeout bounds one release request, which is repeated until it is answered.
 const releaseTimeout = 2 * time.Second
 
-// serve starts the dispatcher from what the target holds.
-func (u *unit) serve(a ownership.Action) {
-	u.mu.Lock()
-	u.dispatch = dispatch.New(u.dispatchConfig(a.FencingToken))
-	u.serving = a.FencingToken
-	u.dispatch.Inherit(u.now(), a.Resident, u.catalog.ParseName, u.fences())
-	took := u.now().Sub(u.tookAt)
-	u.mu.Unlock()
-	u.owner.cfg.Metrics.Takeovers.Add(1)
-	u.owner.cfg.Audit.Record(u.now(), audit.Change{
-		Actor: "ownership", Subject: "target/" + string(u.id),
-		New:     string(u.owner.cfg.Self) + " fence " + strconv.FormatUint(a.FencingToken, 10),
+// serve starts a dispatcher from the adapters that the target holds.
+func (t *ownedTarget) serve(a ownership.Action) {
+	t.mu.Lock()
+	t.dispatcher = dispatch.New(t.dispatchConfig(a.FencingToken))
+	t.servingToken = a.FencingToken
+	t.dispatcher.Inherit(t.now(), a.Resident, t.catalog.ParseName, t.rejectsStaleTokens())
+	took := t.now().Sub(t.acquireStarted)
+	t.mu.Unlock()
+	t.owner.cfg.Metrics.Takeovers.Add(1)
+	t.owner.cfg.Audit.Record(t.now(), audit.Change{
+		Actor: "ownership", Subject: "target/" + string(t.id),
+		New:     string(t.owner.cfg.Self) + " fence " + strconv.FormatUint(a.FencingToken, 10),
 		Comment: "serving after " + took.String(),
 	})
 }
 
-// fences reports whether the target refuses old fencing numbers.
-func (u *unit) fences() bool { return u.spec.Fencing == schema.Fencing_FENCING_REFUSES }
+// rejectsStaleTokens reports whether the target refuses orders with stale fencing tokens.
+func (t *ownedTarget) rejectsStaleTokens() bool {
+	return t.spec.Fencing == schema.Fencing_FENCING_REFUSES
+}
 
-func (u *unit) dispatchConfig(fence uint64) dispatch.Config {
+func (t *ownedTarget) dispatchConfig(token uint64) dispatch.Config {
 	cfg := dispatch.DefaultConfig()
-	cfg.Residency.Slots = int(u.spec.Slots)
-	cfg.Batch = int(u.spec.Batch)
-	cfg.QueueLimit = int(u.catalog.Limits.QueuePerTarget)
-	if known := u.owner.loadTime.Load(); known > 0 {
-		cfg.LoadTime = time.Duration(known)
+	cfg.Residency.Slots = int(t.spec.Slots)
+	cfg.Batch = int(t.spec.Batch)
+	cfg.QueueLimit = int(t.catalog.Limits.QueuePerTarget)
+	if loadTime := t.owner.meanLoadTime.Load(); loadTime > 0 {
+		cfg.LoadTime = time.Duration(loadTime)
 	}
-	if !u.fences() {
-		cfg.NameSuffix = u.nameSuffix(fence)
+	if !t.rejectsStaleTokens() {
+		cfg.NameSuffix = t.nameSuffix(token)
 	}
 	return cfg
 }
 
-// nameSuffix tells the names of this tenure from all others, also from those of
-// an earlier process of this VM that claimed in the same millisecond.
-func (u *unit) nameSuffix(fence uint64) string {
-	return "~" + strconv.FormatUint(fence, 36) + "." + strconv.FormatUint(u.owner.cfg.Incarnation, 36)
+// nameSuffix returns a suffix that makes the adapter names of this ownership term unique, also
+// against those of an earlier process of this VM that claimed the target in the same millisecond.
+func (t *ownedTarget) nameSuffix(token uint64) string {
+	return "~" + strconv.FormatUint(token, 36) + "." + strconv.FormatUint(t.owner.cfg.Incarnation, 36)
 }
 
-func (u *unit) setHolds(a ownership.Action) {
-	u.mu.Lock()
+func (t *ownedTarget) setHolds(a ownership.Action) {
+	t.mu.Lock()
 	var acts []dispatch.Action
-	if u.dispatch != nil {
-		acts = u.dispatch.SetHolds(u.now(), a.All, a.Names)
+	if t.dispatcher != nil {
+		acts = t.dispatcher.SetHolds(t.now(), a.All, a.Names)
 	}
-	u.mu.Unlock()
-	u.runDispatch(acts)
+	t.mu.Unlock()
+	t.runDispatchActions(acts)
 }
 
-// stop ends new work; running requests go on.
-func (u *unit) stop() {
-	u.mu.Lock()
+// stop ends the dispatch of new requests; running requests continue.
+func (t *ownedTarget) stop() {
+	t.mu.Lock()
 	var acts []dispatch.Action
-	if u.dispatch != nil {
-		acts = u.dispatch.Stop(u.now())
+	if t.dispatcher != nil {
+		acts = t.dispatcher.Stop(t.now())
 	}
-	u.mu.Unlock()
-	u.owner.cfg.Metrics.StepDowns.Add(1)
-	u.owner.cfg.Audit.Record(u.now(), audit.Change{
-		Actor: "ownership", Subject: "target/" + string(u.id), Old: string(u.owner.cfg.Self), Comment: "stepped down",
+	t.mu.Unlock()
+	t.owner.cfg.Metrics.StepDowns.Add(1)
+	t.owner.cfg.Audit.Record(t.now(), audit.Change{
+		Actor: "ownership", Subject: "target/" + string(t.id), Old: string(t.owner.cfg.Self), Comment: "stepped down",
 	})
-	u.runDispatch(acts)
+	t.runDispatchActions(acts)
 }
--- a/internal/owner/unit.go
+++ b/internal/owner/unit.go
@@ -16,75 +16,75 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// unit is one target that this VM owns, or is about to, or is letting go.
-type unit struct {
+// ownedTarget is one target that this VM owns, is acquiring or is releasing.
+type ownedTarget struct {
 	id     coord.TargetID
 	owner  *Owner
 	engine *target.Engine
 
-	mu       sync.Mutex
-	spec     *catalog.Target
-	catalog  *catalog.Catalog
-	machine  *ownership.Machine
-	dispatch *dispatch.Dispatcher
-	waiters  map[uint64]chan dispatch.Action
-	// serving is the fencing number of the tenure that dispatch belongs to.
-	serving uint64
-	nextID  uint64
-	boot    string
-	leaving bool
-	// doubted is set when the target has shown that its slots are not what
-	// this VM believes.
-	doubted  bool
-	turnDone func()
-	tookAt   time.Time
+	mu         sync.Mutex
+	spec       *catalog.Target
+	catalog    *catalog.Catalog
+	machine    *ownership.Machine
+	dispatcher *dispatch.Dispatcher
+	waiters    map[uint64]chan dispatch.Action
+	// servingToken is the fencing token of the ownership term that dispatcher belongs to.
+	servingToken uint64
+	nextID       uint64
+	bootID       string
+	leaving      bool
+	// needsReconcile is set when an answer of the target has shown that its slots differ from the
+	// state that this VM tracks.
+	needsReconcile bool
+	permitDone     func()
+	acquireStarted time.Time
 }
 
-func newUnit(o *Owner, t *catalog.Target, c *catalog.Catalog) *unit {
-	return &unit{
-		id: t.ID, owner: o, spec: t, catalog: c,
-		engine:  target.NewEngine(t.Target, o.cfg.Transport, o.cfg.OrderToken),
+func newOwnedTarget(o *Owner, spec *catalog.Target, c *catalog.Catalog) *ownedTarget {
+	return &ownedTarget{
+		id: spec.ID, owner: o, spec: spec, catalog: c,
+		engine:  target.NewEngine(spec.Target, o.cfg.Transport, o.cfg.OrderToken),
 		machine: ownership.New(o.cfg.Self, o.cfg.TieBreaker),
 		waiters: map[uint64]chan dispatch.Action{},
 	}
 }
 
-func (u *unit) log() log.Interface {
-	return u.owner.cfg.Log.WithField("target", string(u.id))
+func (t *ownedTarget) log() log.Interface {
+	return t.owner.cfg.Log.WithField("target", string(t.id))
 }
 
-func (u *unit) now() time.Time { return u.owner.cfg.Now() }
+func (t *ownedTarget) now() time.Time { return t.owner.cfg.Now() }
 
-// want takes the word of a view on who should own the target.
-func (u *unit) want(wanted bool, v View) {
-	u.mu.Lock()
-	u.catalog = v.Catalog
+// setDesired applies a view's decision on whether this VM should own the target.
+func (t *ownedTarget) setDesired(desired bool, v View) {
+	t.mu.Lock()
+	t.catalog = v.Catalog
 	var acts []ownership.Action
-	if t := v.Catalog.Target(u.id); t != nil {
-		acts = u.respec(t)
+	if spec := v.Catalog.Target(t.id); spec != nil {
+		acts = t.updateSpec(spec)
 	}
-	before := u.machine.Phase()
-	if wanted && before == ownership.Idle {
-		u.tookAt = u.now()
+	before := t.machine.Phase()
+	if desired && before == ownership.Idle {
+		t.acquireStarted = t.now()
 	}
-	acts = append(acts, u.machine.SetDesired(u.now(), wanted, v.Peers)...)
-	u.mu.Unlock()
-	u.runOwnership(acts)
+	acts = append(acts, t.machine.SetDesired(t.now(), desired, v.Peers)...)
+	t.mu.Unlock()
+	t.runOwnershipActions(acts)
 }
 
-// respec takes the target's declaration. When it has changed in more than that
-// the target leaves, what this VM knows of it may be wrong, and the tenure starts
-// anew: the target is read and claimed before it is used. u.mu is held.
-func (u *unit) respec(t *catalog.Target) []ownership.Action {
-	old := u.spec
-	u.spec = t
-	u.leaving = u.leaving || t.Leaving
-	if sameTarget(old.Target, t.Target) {
+// updateSpec applies the target's declaration. If more has changed than that the target is leaving,
+// the tracked state may be wrong, and a new ownership term begins: the target is read and claimed
+// before it is used. t.mu must be held.
+func (t *ownedTarget) updateSpec(spec *catalog.Target) []ownership.Action {
+	old := t.spec
+	t.spec = spec
+	t.leaving = t.leaving || spec.Leaving
+	if sameTarget(old.Target, spec.Target) {
 		return nil
 	}
-	u.engine = target.NewEngine(t.Target, u.owner.cfg.Transport, u.owner.cfg.OrderToken)
-	u.boot = ""
-	return u.machine.HandleRestart(u.now())
+	t.engine = target.NewEngine(spec.Target, t.owner.cfg.Transport, t.owner.cfg.OrderToken)
+	t.bootID = ""
+	return t.machine.HandleRestart(t.now())
 }
 
 func sameTarget(a, b *schema.Target) bool {
@@ -93,112 +93,113 @@
 	return proto.Equal(x, y)
 }
 
-// gone reports whether the bundle holds the target no more and nothing of it is
-// left here. Until then the unit answers for what its requests still use.
-func (u *unit) gone() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.catalog.Target(u.id) == nil && u.machine.Phase() == ownership.Idle
+// isObsolete reports whether the bundle no longer contains the target and this VM has fully
+// released it. Until then, release requests for the target are answered with the adapters that its
+// requests still use.
+func (t *ownedTarget) isObsolete() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.catalog.Target(t.id) == nil && t.machine.Phase() == ownership.Idle
 }
 
-func (u *unit) tick(peers []coord.VMID, poll bool) {
-	u.mu.Lock()
-	own := u.machine.Tick(u.now(), peers)
-	var acts []dispatch.Action
-	serving := u.machine.Phase() == ownership.Serving
-	if u.dispatch != nil && serving {
-		acts = u.dispatch.Tick(u.now())
-	}
-	u.mu.Unlock()
-	u.runOwnership(own)
-	u.runDispatch(acts)
+func (t *ownedTarget) tick(peers []coord.VMID, poll bool) {
+	t.mu.Lock()
+	ownershipActs := t.machine.Tick(t.now(), peers)
+	var dispatchActs []dispatch.Action
+	serving := t.machine.Phase() == ownership.Serving
+	if t.dispatcher != nil && serving {
+		dispatchActs = t.dispatcher.Tick(t.now())
+	}
+	t.mu.Unlock()
+	t.runOwnershipActions(ownershipActs)
+	t.runDispatchActions(dispatchActs)
 	if poll && serving {
-		u.owner.pool.Submit(u.poll)
+		t.owner.pool.Submit(t.poll)
 	}
 }
 
-// release answers another VM's claim: whether this VM has let go, and the names
-// that its last requests still use.
-func (u *unit) release(fence uint64) (released bool, inUse []string) {
-	u.mu.Lock()
-	released, acts := u.machine.HandleReleaseRequest(u.now(), fence)
-	if u.dispatch != nil {
-		inUse = u.dispatch.Slots().InUse(u.now())
+// handleReleaseRequest handles another VM's claim. It returns whether this VM has released the
+// target, and the adapter names that its last requests still use.
+func (t *ownedTarget) handleReleaseRequest(token uint64) (released bool, inUse []string) {
+	t.mu.Lock()
+	released, acts := t.machine.HandleReleaseRequest(t.now(), token)
+	if t.dispatcher != nil {
+		inUse = t.dispatcher.Slots().InUse(t.now())
 	}
-	u.mu.Unlock()
-	u.runOwnership(acts)
+	t.mu.Unlock()
+	t.runOwnershipActions(acts)
 	return released, inUse
 }
 
-// poll reads the target's report and compares the slots with it.
-func (u *unit) poll() {
-	u.mu.Lock()
-	engine, d := u.engine, u.dispatch
-	u.mu.Unlock()
+// poll reads the target's state and applies it.
+func (t *ownedTarget) poll() {
+	t.mu.Lock()
+	engine, d := t.engine, t.dispatcher
+	t.mu.Unlock()
 	state, err := engine.State(context.Background())
 	if err != nil {
-		u.log().WithError(err).Debug("target_unreadable")
+		t.log().WithError(err).Debug("target_unreadable")
 		return
 	}
-	if u.noteBoot(d, state.BootID) {
+	if t.checkRestart(d, state.BootID) {
 		return
 	}
-	u.feed(d, func(now time.Time) []dispatch.Action { return u.takeState(now, d, state) })
+	t.applyEvent(d, func(now time.Time) []dispatch.Action { return t.applyState(now, d, state) })
 }
 
-// takeState takes a leave or a doubt of the target to heart. A report lags: only
-// one that was asked for after the target itself said that something is not as
-// this VM believes may empty slots. u.mu is held.
-func (u *unit) takeState(now time.Time, d *dispatch.Dispatcher, state *target.State) []dispatch.Action {
-	u.leaving = state.Leaving || u.spec.Leaving
-	doubted := u.doubted
-	u.doubted = false
-	if !doubted {
+// applyState applies the leaving state of a report, and reconciles the slots with the report if
+// that was requested. Because reports lag, only one that was requested after the target itself
+// contradicted the tracked state may empty slots. t.mu must be held.
+func (t *ownedTarget) applyState(now time.Time, d *dispatch.Dispatcher, state *target.State) []dispatch.Action {
+	t.leaving = state.Leaving || t.spec.Leaving
+	reconcile := t.needsReconcile
+	t.needsReconcile = false
+	if !reconcile {
 		return nil
 	}
-	held := len(u.machine.Holds()) > 0
-	return d.Reconcile(now, state.Resident, u.catalog.ParseName, held)
+	hasHolds := len(t.machine.Holds()) > 0
+	return d.Reconcile(now, state.Resident, t.catalog.ParseName, hasHolds)
 }
 
-// noteBoot claims a target anew that has restarted: it holds no adapter and has
-// forgotten this VM's number.
-func (u *unit) noteBoot(d *dispatch.Dispatcher, boot string) (restarted bool) {
-	u.mu.Lock()
+// checkRestart claims the target again if it has restarted: it then holds no adapter and has lost
+// this VM's fencing token.
+func (t *ownedTarget) checkRestart(d *dispatch.Dispatcher, bootID string) (restarted bool) {
+	t.mu.Lock()
 	var acts []ownership.Action
-	if u.dispatch == d && u.boot != "" && boot != u.boot {
+	if t.dispatcher == d && t.bootID != "" && bootID != t.bootID {
 		restarted = true
-		u.boot = ""
-		acts = u.machine.HandleRestart(u.now())
+		t.bootID = ""
+		acts = t.machine.HandleRestart(t.now())
 	}
-	u.mu.Unlock()
+	t.mu.Unlock()
 	if restarted {
-		u.log().WithField("boot", boot).Warn("target_restarted")
+		t.log().WithField("boot", bootID).Warn("target_restarted")
 	}
-	u.runOwnership(acts)
+	t.runOwnershipActions(acts)
 	return restarted
 }
 
-func (u *unit) busy() int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.dispatch == nil {
+func (t *ownedTarget) openRequests() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.dispatcher == nil {
 		return 0
 	}
-	return u.dispatch.Running() + u.dispatch.Queued()
+	return t.dispatcher.Running() + t.dispatcher.Queued()
 }
 
-func (u *unit) status() *schema.TargetStatus {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	s := &schema.TargetStatus{Target: string(u.id), Fence: u.machine.FencingToken(), State: u.machine.Phase().String()}
-	for _, vm := range u.machine.Holds() {
+func (t *ownedTarget) status() *schema.TargetStatus {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := &schema.TargetStatus{Target: string(t.id), Fence: t.machine.FencingToken(), State: t.machine.Phase().String()}
+	for _, vm := range t.machine.Holds() {
 		s.Holds = append(s.Holds, string(vm))
 	}
-	if u.dispatch == nil {
+	if t.dispatcher == nil {
 		return s
 	}
-	s.Running, s.Queued = uint32(u.dispatch.Running()), uint32(u.dispatch.Queued())
-	for _, slot := range u.dispatch.Slots().Slots() {
+	s.Running, s.Queued = uint32(t.dispatcher.Running()), uint32(t.dispatcher.Queued())
+	for _, slot := range t.dispatcher.Slots().Slots() {
 		s.Resident = append(s.Resident, slot.Name)
 	}
 	return s
--- a/internal/target/contract_test.go
+++ b/internal/target/contract_test.go
@@ -20,16 +20,16 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// The contract of an engine is checked against the stand-in, or against a real
-// engine whose address stands in this variable. It must have the base model
-// base-8b, two slots, and weights for a@1, b@1 and c@1.
-const engineVariable = "JUNCTIONFOLD_ENGINE"
+// engineAddressVariable names the environment variable with the address of a real engine to test;
+// without it, the tests run against the stand-in. The engine must have the base model base-8b, two
+// slots, and weights for a@1, b@1 and c@1.
+const engineAddressVariable = "JUNCTIONFOLD_ENGINE"
 
-// engineAddress returns the engine under test.
+// engineAddress returns the address of the engine under test.
 func engineAddress(t *testing.T, refuses bool) string {
 	t.Helper()
-	if real := os.Getenv(engineVariable); real != "" {
-		return real
+	if address := os.Getenv(engineAddressVariable); address != "" {
+		return address
 	}
 	s := httptest.NewServer(standin.NewEngine(standin.EngineConfig{
 		Base: "base-8b", Slots: 2, RejectsStaleTokens: refuses, Weights: standin.NewWeightStore(time.Millisecond),
@@ -43,18 +43,18 @@
 	return target.NewEngine(&schema.Target{Address: engineAddress(t, refuses)}, http.DefaultTransport, "")
 }
 
-// sink keeps an answer.
-type sink struct {
+// recordingSink records an answer.
+type recordingSink struct {
 	status int
 	body   strings.Builder
 }
 
-func (s *sink) Head(status int, _ []*schema.Header) error { s.status = status; return nil }
-func (s *sink) Data(part []byte) error                    { s.body.Write(part); return nil }
+func (s *recordingSink) Head(status int, _ []*schema.Header) error { s.status = status; return nil }
+func (s *recordingSink) Data(part []byte) error                    { s.body.Write(part); return nil }
 
-func run(t *testing.T, e *target.Engine, name, model string, stream bool) (*sink, forward.Result, *attempt.Attempt) {
+func run(t *testing.T, e *target.Engine, name, model string, stream bool) (*recordingSink, forward.Result, *attempt.Attempt) {
 	t.Helper()
-	out, a := &sink{}, &attempt.Attempt{}
+	out, a := &recordingSink{}, &attempt.Attempt{}
 	body := `{"model":"x","stream":false,"messages":[{"role":"user","content":"hello there"}]}`
 	if stream {
 		body = strings.Replace(body, "false", "true", 1)
@@ -66,7 +66,7 @@
 	return out, r, a
 }
 
-// TestEngineContract is what the owner relies on.
+// TestEngineContract checks the behaviour of an engine that the owner relies on.
 func TestEngineContract(t *testing.T) {
 	e := newEngine(t, true)
 	ctx := t.Context()
@@ -77,16 +77,16 @@
 		assert.Equal(t, s.FencingToken, uint64(10))
 		assert.Assert(t, s.BootID != "")
 	})
-	t.Run("a load is resident when the order ends", func(t *testing.T) {
+	t.Run("an adapter is resident when its load returns", func(t *testing.T) {
 		assert.NilError(t, e.Load(ctx, 10, "a@1", "a@1"))
 		s, err := e.State(ctx)
 		assert.NilError(t, err)
 		assert.Assert(t, slices.Contains(s.Resident, "a@1"))
 	})
-	t.Run("loading what is there is no error", func(t *testing.T) {
+	t.Run("loading a resident adapter again is no error", func(t *testing.T) {
 		assert.NilError(t, e.Load(ctx, 10, "a@1", "a@1"))
 	})
-	t.Run("a load into no free slot fails and evicts nothing", func(t *testing.T) {
+	t.Run("a load without a free slot fails and evicts nothing", func(t *testing.T) {
 		assert.NilError(t, e.Load(ctx, 10, "b@1", "b@1"))
 		assert.ErrorContains(t, e.Load(ctx, 10, "c@1", "c@1"), "no_free_slot")
 		s, err := e.State(ctx)
@@ -102,7 +102,7 @@
 			assert.Equal(t, a.Outcome(), attempt.Ran)
 		})
 	}
-	t.Run("a request for what is not loaded is refused unrun", func(t *testing.T) {
+	t.Run("a request for an adapter that is not loaded is refused and not run", func(t *testing.T) {
 		_, r, a := run(t, e, "c@1", "c@1", false)
 		assert.Equal(t, r.Failure.GetCode(), target.EngineNotLoaded)
 		assert.Equal(t, a.Outcome(), attempt.NotRun)
@@ -113,22 +113,23 @@
 	})
 }
 
-// TestFencingContract is what engines do with old numbers, by kind.
+// TestFencingContract checks how engines treat orders with stale fencing tokens: those that refuse
+// them report the highest token seen, the others ignore the token.
 func TestFencingContract(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		refuses bool
 	}{{"refuses", true}, {"ignores", false}} {
 		t.Run(row.name, func(t *testing.T) {
-			if os.Getenv(engineVariable) != "" && !row.refuses {
-				t.Skip("the real engine is taken to refuse old numbers")
+			if os.Getenv(engineAddressVariable) != "" && !row.refuses {
+				t.Skip("a real engine is expected to refuse stale tokens")
 			}
 			e := newEngine(t, row.refuses)
 			assert.NilError(t, e.Claim(t.Context(), 20))
 			for _, order := range []func(context.Context, uint64) error{
 				e.Claim,
-				func(ctx context.Context, fence uint64) error { return e.Load(ctx, fence, "a@1", "a@1") },
-				func(ctx context.Context, fence uint64) error { return e.Unload(ctx, fence, "a@1") },
+				func(ctx context.Context, token uint64) error { return e.Load(ctx, token, "a@1", "a@1") },
+				func(ctx context.Context, token uint64) error { return e.Unload(ctx, token, "a@1") },
 			} {
 				err := order(t.Context(), 19)
 				var stale *target.StaleTokenError
@@ -141,8 +142,9 @@
 	}
 }
 
-// TestCallersNameComesBack hides the name that an adapter has at the engine.
-func TestCallersNameComesBack(t *testing.T) {
+// TestAnswerNamesCallersModel checks that the name under which the engine loaded an adapter does
+// not reach the caller.
+func TestAnswerNamesCallersModel(t *testing.T) {
 	e := newEngine(t, false)
 	assert.NilError(t, e.Load(t.Context(), 1, "a@1~xyz", "a@1"))
 	for _, stream := range []bool{false, true} {
@@ -153,8 +155,9 @@
 	}
 }
 
-// TestUnreachableEngine is an attempt that provably did not run.
-func TestUnreachableEngine(t *testing.T) {
+// TestUnreachableEngineReportsNotRun checks that an attempt without a connection to the engine is
+// reported as not run.
+func TestUnreachableEngineReportsNotRun(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	address := strings.TrimPrefix(s.URL, "http://")
 	s.Close()
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -1,9 +1,9 @@
-// Package target holds the clients of what junctionfold serves: model engines
-// and plain services.
+// Package target provides clients for the targets that junctionfold serves: model engines and plain
+// services.
 //
-// A model engine speaks the usual completions interface and takes orders to
-// load and unload adapters. An order carries a fencing number in a header; some
-// engines refuse one that is lower than the highest they have seen.
+// A model engine offers the usual completions interface and accepts orders to load and unload
+// adapters. An order carries a fencing token in a header; some engines refuse an order whose token
+// is lower than the highest one they have seen.
 package target
 
 import (
@@ -37,7 +37,7 @@
 	EngineStaleToken = "stale_fence"
 )
 
-// State is an engine's report of itself. It lags.
+// State is an engine's report of its own state. The report lags behind the engine.
 type State struct {
 	// BootID changes when the engine restarts.
 	BootID       string   `json:"boot_id"`
@@ -56,70 +56,71 @@
 	Path string `json:"lora_path"`
 }
 
-// UnloadOrder asks an engine to drop an adapter.
+// UnloadOrder asks an engine to unload an adapter.
 type UnloadOrder struct {
 	Name string `json:"lora_name"`
 }
 
-// RoleOrder asks an engine to take a role. Asking for the role that it has
-// raises its fencing number and does nothing else.
+// RoleOrder asks an engine to assume a role. An order for the role that the engine already has only
+// raises its fencing token.
 type RoleOrder struct {
 	Role string `json:"role"`
 }
 
-// RoleMixed is the role of an engine that does everything.
+// RoleMixed is the role of an engine that runs all kinds of work.
 const RoleMixed = "mixed"
 
-// ErrorBody is an engine's refusal.
+// ErrorBody is the body of an engine's error answer.
 type ErrorBody struct {
 	Error struct {
 		Code    string `json:"code"`
 		Message string `json:"message"`
-		// Fence is the highest number seen, for stale_fence.
+		// Fence is the highest fencing token seen; set with EngineStaleToken.
 		Fence uint64 `json:"fence"`
 	} `json:"error"`
 }
 
-// StaleTokenError is the error of an order that the engine refused for its number.
+// StaleTokenError is the error of an order that the engine refused because it has seen a higher
+// fencing token.
 type StaleTokenError struct {
 	Seen uint64
 }
 
-// Error names the number that the engine has seen.
+// Error returns a message with the highest token that the engine has seen.
 func (e *StaleTokenError) Error() string {
-	return "the target has seen fencing number " + strconv.FormatUint(e.Seen, 10)
+	return "the target has seen fencing token " + strconv.FormatUint(e.Seen, 10)
 }
 
 // Engine is the client of one model engine.
 type Engine struct {
-	base   string
-	orders *resty.Client
-	runs   *http.Client
+	baseURL     string
+	orderClient *resty.Client
+	runClient   *http.Client
 }
 
-// Timeouts of orders. A load waits for the weight store.
+// Timeouts of orders. A load takes longer because it reads from the weight store.
 const (
 	orderTimeout = 3 * time.Second
 	loadTimeout  = 60 * time.Second
 )
 
-// NewEngine returns the client of the engine at an address. token is sent with
-// orders when the target checks who gives them.
+// NewEngine returns the client of the engine at t's address. token is sent with orders if the
+// target authenticates their sender.
 func NewEngine(t *schema.Target, transport http.RoundTripper, token string) *Engine {
-	base := "http://" + t.Address
-	orders := resty.New().SetBaseURL(base).SetTransport(transport)
+	baseURL := "http://" + t.Address
+	orderClient := resty.New().SetBaseURL(baseURL).SetTransport(transport)
 	if t.ChecksOrders {
-		orders.SetAuthToken(token)
+		orderClient.SetAuthToken(token)
 	}
-	return &Engine{base: base, orders: orders, runs: &http.Client{Transport: transport}}
+	return &Engine{baseURL: baseURL, orderClient: orderClient, runClient: &http.Client{Transport: transport}}
 }
 
-// State asks for the engine's report.
+// State requests the engine's report of its state.
 func (e *Engine) State(ctx context.Context) (*State, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	out := &State{}
-	resp, err := e.orders.R().SetContext(ctx).SetResult(out).Get(StatePath)
+	resp, err := e.orderClient.R().SetContext(ctx).SetResult(out).Get(StatePath)
 	if err != nil {
 		return nil, errors.Wrap(err, "read engine state")
 	}
@@ -129,29 +130,30 @@
 	return out, nil
 }
 
-// Claim raises the engine's fencing number.
-func (e *Engine) Claim(ctx context.Context, fence uint64) error {
-	return e.order(ctx, orderTimeout, RolePath, fence, RoleOrder{Role: RoleMixed})
+// Claim raises the engine's fencing token.
+func (e *Engine) Claim(ctx context.Context, token uint64) error {
+	return e.order(ctx, orderTimeout, RolePath, token, RoleOrder{Role: RoleMixed})
 }
 
-// Load orders an adapter into a free slot and returns when it is resident.
-func (e *Engine) Load(ctx context.Context, fence uint64, name, path string) error {
-	return e.order(ctx, loadTimeout, LoadPath, fence, LoadOrder{Name: name, Path: path})
+// Load orders the engine to load an adapter into a free slot and returns once the adapter is
+// resident.
+func (e *Engine) Load(ctx context.Context, token uint64, name, path string) error {
+	return e.order(ctx, loadTimeout, LoadPath, token, LoadOrder{Name: name, Path: path})
 }
 
-// Unload orders an adapter out of its slot.
-func (e *Engine) Unload(ctx context.Context, fence uint64, name string) error {
-	return e.order(ctx, orderTimeout, UnloadPath, fence, UnloadOrder{Name: name})
+// Unload orders the engine to unload an adapter.
+func (e *Engine) Unload(ctx context.Context, token uint64, name string) error {
+	return e.order(ctx, orderTimeout, UnloadPath, token, UnloadOrder{Name: name})
 }
 
-// order sends an order once. It is never repeated here: a late copy could undo
-// what a later owner did.
-func (e *Engine) order(ctx context.Context, timeout time.Duration, path string, fence uint64, body any) error {
+// order sends an order once. It never retries, because a delayed duplicate could undo an order of a
+// later owner.
+func (e *Engine) order(ctx context.Context, timeout time.Duration, path string, token uint64, body any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	refusal := &ErrorBody{}
-	resp, err := e.orders.R().SetContext(ctx).
-		SetHeader(FencingTokenHeader, strconv.FormatUint(fence, 10)).
+	resp, err := e.orderClient.R().SetContext(ctx).
+		SetHeader(FencingTokenHeader, strconv.FormatUint(token, 10)).
 		SetBody(body).SetError(refusal).Post(path)
 	if err != nil {
 		return errors.Wrapf(err, "order %s", path)
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -22,50 +22,50 @@
 // MaxAnswerBytes bounds an answer that is not streamed.
 const MaxAnswerBytes = 32 << 20
 
-// resumeTries is how often a broken stream is taken up again.
-const resumeTries = 3
+// maxResumes bounds how often an interrupted stream is resumed.
+const maxResumes = 3
 
 // Run is one attempt on an engine.
 type Run struct {
 	Forward *schema.Forward
 	// Name of the adapter at the engine.
 	Name string
-	// Model is the name that the caller used and gets back.
+	// Model is the name that the caller used and that the answer carries.
 	Model string
-	// FencingToken is the owner's number.
+	// FencingToken is the owner's fencing token.
 	FencingToken uint64
-	// Attempt is told how far the request got.
+	// Attempt records how far the request got.
 	Attempt *attempt.Attempt
 }
 
-// runner carries out one Run.
+// runner executes one Run.
 type runner struct {
 	Run
 	engine *Engine
 	sink   forward.Sink
-	// events counts the events passed on, for a resume.
-	events int
-	headed bool
-	ended  bool
+	// eventsRelayed counts the events relayed so far; a resume continues after them.
+	eventsRelayed int
+	headSent      bool
+	streamEnded   bool
 }
 
-// Run sends the request and writes the answer to the sink. The answer is passed
-// on only if it names the adapter that was asked for.
+// Run sends the request and writes the answer to the sink. The answer is relayed only if it names
+// the adapter that was requested.
 func (e *Engine) Run(ctx context.Context, r Run, sink forward.Sink) forward.Result {
 	run := &runner{Run: r, engine: e, sink: sink}
 	resp, err := run.send(ctx)
 	if err != nil {
-		return run.failed(ctx, err)
+		return run.failureResult(ctx, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode >= http.StatusBadRequest {
-		return run.refused(resp)
+		return run.errorResult(resp)
 	}
 	run.Attempt.Started()
 	if r.Forward.Stream {
-		return run.stream(ctx, resp)
+		return run.relayStream(ctx, resp)
 	}
-	return run.whole(ctx, resp)
+	return run.relayBuffered(ctx, resp)
 }
 
 func (r *runner) send(ctx context.Context) (*http.Response, error) {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "set model")
 	}
-	req, err := http.NewRequestWithContext(traced(ctx, r.Attempt), r.Forward.Method, r.engine.base+r.Forward.Path, onceOnly(body))
+	req, err := http.NewRequestWithContext(withSendTrace(ctx, r.Attempt), r.Forward.Method, r.engine.baseURL+r.Forward.Path, nonReplayableBody(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "make request")
 	}
@@ -81,28 +81,30 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(RequestIDKey, r.Forward.RequestId)
 	req.Header.Set(FencingTokenHeader, strconv.FormatUint(r.FencingToken, 10))
-	return r.engine.runs.Do(req)
+	return r.engine.runClient.Do(req)
 }
 
-// onceOnly hides a body's type from net/http, which would otherwise keep a copy
-// and send the request again by itself when a reused connection breaks: it
-// takes a request that has an Idempotency-Key as one that may be repeated.
-func onceOnly(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
+// nonReplayableBody hides the type of the body from net/http. Otherwise net/http would keep a copy
+// and resend the request when a reused connection breaks, because it treats a request with an
+// Idempotency-Key header as replayable.
+func nonReplayableBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
-// traced reports the moment from which bytes may leave.
-func traced(ctx context.Context, a *attempt.Attempt) context.Context {
+// withSendTrace marks the attempt as possibly sent once it has a connection, before the first byte
+// can leave.
+func withSendTrace(ctx context.Context, a *attempt.Attempt) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { a.MaybeSent() },
 	})
 }
 
-// failed is the result of a request whose answer never began.
-func (r *runner) failed(ctx context.Context, err error) forward.Result {
+// failureResult returns the result of an attempt that ended without a complete answer, and marks
+// the connection as lost.
+func (r *runner) failureResult(ctx context.Context, err error) forward.Result {
 	r.Attempt.ConnectionLost()
 	return FailureResult(ctx, r.Attempt, err)
 }
 
-// FailureResult is the result of an attempt that ended without a whole answer.
+// FailureResult returns the result of an attempt that ended without a complete answer.
 func FailureResult(ctx context.Context, a *attempt.Attempt, err error) forward.Result {
 	outcome := OutcomeOf(a)
 	if ctx.Err() != nil {
@@ -114,7 +116,7 @@
 	return forward.Fail(forward.CodeAnswerTruncated, http.StatusBadGateway, outcome, 0, err.Error())
 }
 
-// OutcomeOf gives what is known of an attempt as a message.
+// OutcomeOf returns the outcome of an attempt, as far as it is known, in its wire form.
 func OutcomeOf(a *attempt.Attempt) schema.Outcome {
 	switch a.Outcome() {
 	case attempt.NotRun:
@@ -125,12 +127,12 @@
 	return schema.Outcome_OUTCOME_UNKNOWN
 }
 
-// maxErrorBytes bounds the error bodies that are read.
+// maxErrorBytes bounds how much of an error body is read.
 const maxErrorBytes = 64 << 10
 
-// refused reads an engine's error answer. Only an explicit word of the engine
-// makes it a refusal; any other server error leaves the outcome unknown.
-func (r *runner) refused(resp *http.Response) forward.Result {
+// errorResult handles an engine's error answer. Only an explicit statement of the engine that it
+// did not run the request counts as a refusal; any other server error leaves the outcome unknown.
+func (r *runner) errorResult(resp *http.Response) forward.Result {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	refusal := &ErrorBody{}
 	_ = json.Unmarshal(body, refusal)
@@ -145,7 +147,7 @@
 		return forward.Fail(forward.CodeAnswerTruncated, http.StatusBadGateway,
 			schema.Outcome_OUTCOME_UNKNOWN, 0, "the engine answered with status "+strconv.Itoa(resp.StatusCode))
 	}
-	return r.passOn(resp, body)
+	return r.relay(resp, body)
 }
 
 func refusalCode(engineCode string) string {
@@ -155,8 +157,8 @@
 	return engineCode
 }
 
-// passOn gives the caller a whole answer.
-func (r *runner) passOn(resp *http.Response, body []byte) forward.Result {
+// relay writes a complete answer to the sink.
+func (r *runner) relay(resp *http.Response, body []byte) forward.Result {
 	r.Attempt.Started()
 	r.Attempt.Finished()
 	if err := r.sink.Head(resp.StatusCode, contentType(resp)); err != nil {
@@ -168,39 +170,39 @@
 	return forward.Result{}
 }
 
-// CallerDisconnected is the result of an answer that nobody takes any more.
+// CallerDisconnected returns the result of an attempt whose caller no longer accepts the answer.
 func CallerDisconnected(err error) forward.Result {
 	return forward.Fail(forward.CodeCancelled, statusClientClosed, schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
 }
 
-// statusClientClosed is the customary status for a caller that has gone.
+// statusClientClosed is the customary status for a caller that has disconnected.
 const statusClientClosed = 499
 
 func contentType(resp *http.Response) []*schema.Header {
 	return []*schema.Header{{Name: "Content-Type", Value: resp.Header.Get("Content-Type")}}
 }
 
-// whole reads an answer to its end before any of it goes on.
-func (r *runner) whole(ctx context.Context, resp *http.Response) forward.Result {
+// relayBuffered reads an answer to its end before it relays any of it.
+func (r *runner) relayBuffered(ctx context.Context, resp *http.Response) forward.Result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerBytes+1))
 	if err == nil && len(body) > MaxAnswerBytes {
 		err = errors.Newf("answer of more than %d bytes", MaxAnswerBytes)
 	}
 	if err != nil {
-		return r.failed(ctx, err)
+		return r.failureResult(ctx, err)
 	}
 	if got := gjson.GetBytes(body, "model").String(); got != r.Name {
-		return r.wrongAdapter(got)
+		return r.wrongAdapterResult(got)
 	}
 	if r.Name != r.Model {
 		if body, err = sjson.SetBytes(body, "model", r.Model); err != nil {
-			return r.failed(ctx, err)
+			return r.failureResult(ctx, err)
 		}
 	}
-	return r.passOn(resp, body)
+	return r.relay(resp, body)
 }
 
-func (r *runner) wrongAdapter(got string) forward.Result {
+func (r *runner) wrongAdapterResult(got string) forward.Result {
 	r.Attempt.ConnectionLost()
 	return forward.Fail(forward.CodeWrongAdapter, http.StatusBadGateway, schema.Outcome_OUTCOME_UNKNOWN, 0,
 		"asked for "+r.Name+", the answer names "+got)
@@ -209,5 +211,5 @@
 // errWrongAdapter marks an event that names another adapter.
 var errWrongAdapter = errors.New("the answer names another adapter")
 
-// errSink marks a sink that takes no more.
-var errSink = errors.New("the caller takes no more")
+// errSinkClosed marks an error of the sink: the caller accepts no more data.
+var errSinkClosed = errors.New("the caller accepts no more data")
--- a/internal/target/service.go
+++ b/internal/target/service.go
@@ -14,30 +14,31 @@
 
 // Service is the client of one instance of a plain service.
 type Service struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
-// NewService returns the client of the instance at an address. Redirects go to
-// the caller as they are.
+// NewService returns the client of the instance at an address. The client does not follow
+// redirects; they are relayed to the caller.
 func NewService(address string, transport http.RoundTripper) *Service {
-	return &Service{base: "http://" + address, client: &http.Client{
+	return &Service{baseURL: "http://" + address, client: &http.Client{
 		Transport:     transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// copyBuffer is the size of the parts that an answer is passed on in, in bytes.
-const copyBuffer = 16 << 10
+// copyBufferBytes is the size of the buffer through which an answer is relayed.
+const copyBufferBytes = 16 << 10
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1).
+// hopHeaders are the headers that apply to one connection only and are not forwarded (RFC 9110,
+// section 7.6.1).
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Content-Length": true,
 }
 
-// ForwardableHeaders returns the headers that go on to the next hop.
+// ForwardableHeaders returns the headers that are forwarded to the next hop.
 func ForwardableHeaders(h http.Header) []*schema.Header {
 	out := make([]*schema.Header, 0, len(h))
 	for name, values := range h {
@@ -53,7 +54,7 @@
 
 // Run sends the call once and copies the answer to the sink.
 func (s *Service) Run(ctx context.Context, f *schema.Forward, a *attempt.Attempt, sink forward.Sink) forward.Result {
-	req, err := http.NewRequestWithContext(traced(ctx, a), f.Method, s.base+f.Path, onceOnly(f.Body))
+	req, err := http.NewRequestWithContext(withSendTrace(ctx, a), f.Method, s.baseURL+f.Path, nonReplayableBody(f.Body))
 	if err != nil {
 		return forward.Fail(forward.CodeBadRequest, http.StatusBadRequest, schema.Outcome_OUTCOME_NOT_RUN, 0, err.Error())
 	}
@@ -81,7 +82,7 @@
 		a.ConnectionLost()
 		return CallerDisconnected(err)
 	}
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
--- a/internal/target/stream.go
+++ b/internal/target/stream.go
@@ -13,11 +13,11 @@
 	"github.com/junctionfold/junctionfold/internal/forward"
 )
 
-// stream passes events on until the end mark, resuming when the engine's side
-// breaks.
-func (r *runner) stream(ctx context.Context, resp *http.Response) forward.Result {
+// relayStream relays events up to the end marker. It resumes the stream if the connection to the
+// engine breaks.
+func (r *runner) relayStream(ctx context.Context, resp *http.Response) forward.Result {
 	err := r.copyEvents(resp)
-	for try := 0; try < resumeTries && r.canResume(ctx, err); try++ {
+	for try := 0; try < maxResumes && r.canResume(ctx, err); try++ {
 		err = r.resume(ctx)
 	}
 	switch {
@@ -25,27 +25,27 @@
 		r.Attempt.Finished()
 		return forward.Result{}
 	case errors.Is(err, errWrongAdapter):
-		return r.wrongAdapter(err.Error())
-	case errors.Is(err, errSink):
+		return r.wrongAdapterResult(err.Error())
+	case errors.Is(err, errSinkClosed):
 		r.Attempt.ConnectionLost()
 		return CallerDisconnected(err)
 	}
-	return r.failed(ctx, err)
+	return r.failureResult(ctx, err)
 }
 
 func (r *runner) canResume(ctx context.Context, err error) bool {
-	return err != nil && ctx.Err() == nil && !errors.IsAny(err, errWrongAdapter, errSink)
+	return err != nil && ctx.Err() == nil && !errors.IsAny(err, errWrongAdapter, errSinkClosed)
 }
 
-// resume asks the engine for the events after the last one passed on. It only
-// reads a stream that is there: the request does not run again.
+// resume requests the events after the last relayed one. It only reads an existing stream; the
+// request does not run again.
 func (r *runner) resume(ctx context.Context) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.engine.base+StreamPath+r.Forward.RequestId, http.NoBody)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.engine.baseURL+StreamPath+r.Forward.RequestId, http.NoBody)
 	if err != nil {
 		return errors.Wrap(err, "make resume request")
 	}
-	req.Header.Set(LastEventID, strconv.Itoa(r.events))
-	resp, err := r.engine.runs.Do(req)
+	req.Header.Set(LastEventID, strconv.Itoa(r.eventsRelayed))
+	resp, err := r.engine.runClient.Do(req)
 	if err != nil {
 		return errors.Wrap(err, "resume stream")
 	}
@@ -56,26 +56,26 @@
 	return r.copyEvents(resp)
 }
 
-// Marks in an event stream.
+// Prefixes of lines in an event stream.
 var (
-	dataMark = []byte("data: ")
-	idMark   = []byte("id: ")
-	doneMark = []byte("data: [DONE]")
+	dataPrefix = []byte("data: ")
+	idPrefix   = []byte("id: ")
+	donePrefix = []byte("data: [DONE]")
 )
 
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 4 << 20
 
-// copyEvents passes events on. It returns nil only after the end mark.
+// copyEvents relays events. It returns nil only after the end marker.
 func (r *runner) copyEvents(resp *http.Response) error {
 	lines := bufio.NewReader(resp.Body)
 	var event []byte
-	for !r.ended {
+	for !r.streamEnded {
 		line, err := readLine(lines)
 		if err != nil {
 			return errors.Wrap(err, "read event")
 		}
-		if event, err = r.takeLine(resp, event, line); err != nil {
+		if event, err = r.processLine(resp, event, line); err != nil {
 			return err
 		}
 		if len(event) > maxEventBytes {
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// readLine returns the next line with its end. A line that fits the reader's
-// buffer is not copied.
+// readLine returns the next line with its line ending. A line that fits the reader's buffer is not
+// copied.
 func readLine(lines *bufio.Reader) ([]byte, error) {
 	line, err := lines.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
@@ -100,10 +100,10 @@
 	return long, err
 }
 
-// takeLine adds a line to the event, or passes the event on at its end. The
-// engine's event ids are checked and not passed on.
-func (r *runner) takeLine(resp *http.Response, event, line []byte) ([]byte, error) {
-	if bytes.HasPrefix(line, idMark) {
+// processLine appends a line to the event, or relays the event if the line ends it. The engine's
+// event IDs are checked and not relayed.
+func (r *runner) processLine(resp *http.Response, event, line []byte) ([]byte, error) {
+	if bytes.HasPrefix(line, idPrefix) {
 		return event, r.checkID(line)
 	}
 	event = append(event, line...)
@@ -113,55 +113,55 @@
 	if len(bytes.TrimSpace(event)) == 0 {
 		return event[:0], nil
 	}
-	return event[:0], r.passEvent(resp, event)
+	return event[:0], r.relayEvent(resp, event)
 }
 
-// checkID refuses an event that is out of order.
+// checkID returns an error for an event that is out of order.
 func (r *runner) checkID(line []byte) error {
-	id, err := strconv.Atoi(string(bytes.TrimSpace(line[len(idMark):])))
-	if err != nil || id != r.events+1 {
-		return errors.Newf("event %q after event %d", bytes.TrimSpace(line), r.events)
+	id, err := strconv.Atoi(string(bytes.TrimSpace(line[len(idPrefix):])))
+	if err != nil || id != r.eventsRelayed+1 {
+		return errors.Newf("event %q after event %d", bytes.TrimSpace(line), r.eventsRelayed)
 	}
 	return nil
 }
 
-func (r *runner) passEvent(resp *http.Response, event []byte) error {
-	r.ended = bytes.HasPrefix(event, doneMark)
-	if !r.ended && bytes.HasPrefix(event, dataMark) {
+func (r *runner) relayEvent(resp *http.Response, event []byte) error {
+	r.streamEnded = bytes.HasPrefix(event, donePrefix)
+	if !r.streamEnded && bytes.HasPrefix(event, dataPrefix) {
 		if err := r.checkModel(event); err != nil {
 			return err
 		}
-		event = r.callersName(event)
+		event = r.restoreModelName(event)
 	}
-	r.events++
-	if err := r.head(resp); err != nil {
-		return errors.Mark(err, errSink)
+	r.eventsRelayed++
+	if err := r.sendHead(resp); err != nil {
+		return errors.Mark(err, errSinkClosed)
 	}
 	if err := r.sink.Data(event); err != nil {
-		return errors.Mark(err, errSink)
+		return errors.Mark(err, errSinkClosed)
 	}
 	return nil
 }
 
-// checkModel holds an event against the adapter that was asked for.
+// checkModel returns an error if an event names another adapter than the requested one.
 func (r *runner) checkModel(event []byte) error {
-	if got := gjson.GetBytes(event[len(dataMark):], "model").String(); got != r.Name {
+	if got := gjson.GetBytes(event[len(dataPrefix):], "model").String(); got != r.Name {
 		return errors.Mark(errors.Newf("%s", got), errWrongAdapter)
 	}
 	return nil
 }
 
-func (r *runner) callersName(event []byte) []byte {
+func (r *runner) restoreModelName(event []byte) []byte {
 	if r.Name == r.Model {
 		return event
 	}
 	return bytes.Replace(event, strconv.AppendQuote(nil, r.Name), strconv.AppendQuote(nil, r.Model), 1)
 }
 
-func (r *runner) head(resp *http.Response) error {
-	if r.headed {
+func (r *runner) sendHead(resp *http.Response) error {
+	if r.headSent {
 		return nil
 	}
-	r.headed = true
+	r.headSent = true
 	return r.sink.Head(http.StatusOK, contentType(resp))
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds waits that end with a context.
+// Package wait provides waits that end with a context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d. It returns false when the context ended first.
+// Sleep waits for d. It returns false if the context ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
