--- a/coord/baseline_test.go
+++ b/coord/baseline_test.go
@@ -7,61 +7,62 @@
 	"time"
 )
 
-// simple is a baseline: a rule that picks the engine, and engines that load what
-// they lack at once, evict the least recently used and serve first come first.
-type simple struct {
+// baseline is a system to compare with. A rule picks the engine. Engines load a missing
+// adapter at once, evict the least recently used adapter and serve requests in order of
+// arrival.
+type baseline struct {
 	*replay
-	engines []*simpleEngine
-	pick    func(s *simple, j *job) *simpleEngine
+	engines []*baselineEngine
+	pick    func(s *baseline, j *job) *baselineEngine
 	rng     *rand.Rand
 }
 
-type simpleEngine struct {
-	sys     *simple
+type baselineEngine struct {
+	sys     *baseline
 	batcher *batcher
-	slots   []*simpleSlot
+	slots   []*baselineSlot
 	waiting []*job
 }
 
-type simpleSlot struct {
-	adapter int
-	ready   bool
-	pins    int
-	used    time.Time
+type baselineSlot struct {
+	adapter  int
+	ready    bool
+	pins     int
+	lastUsed time.Time
 }
 
-func newSimple(r *replay, seed uint64, pick func(*simple, *job) *simpleEngine) *simple {
-	s := &simple{replay: r, pick: pick, rng: rand.New(rand.NewPCG(seed, 3))}
+func newBaseline(r *replay, seed uint64, pick func(*baseline, *job) *baselineEngine) *baseline {
+	s := &baseline{replay: r, pick: pick, rng: rand.New(rand.NewPCG(seed, 3))}
 	for range r.engines {
-		e := &simpleEngine{sys: s}
-		e.batcher = r.newBatcher(e.ended)
+		e := &baselineEngine{sys: s}
+		e.batcher = r.newBatcher(e.requestFinished)
 		s.engines = append(s.engines, e)
 	}
 	return s
 }
 
-func pickRandom(s *simple, _ *job) *simpleEngine { return s.engines[s.rng.IntN(len(s.engines))] }
+func pickRandom(s *baseline, _ *job) *baselineEngine { return s.engines[s.rng.IntN(len(s.engines))] }
 
-func pickLeastLoaded(s *simple, _ *job) *simpleEngine {
-	return slices.MinFunc(s.engines, func(a, b *simpleEngine) int {
+func pickLeastLoaded(s *baseline, _ *job) *baselineEngine {
+	return slices.MinFunc(s.engines, func(a, b *baselineEngine) int {
 		return len(a.waiting) + len(a.batcher.running) - len(b.waiting) - len(b.batcher.running)
 	})
 }
 
-func pickHash(s *simple, j *job) *simpleEngine {
+func pickHash(s *baseline, j *job) *baselineEngine {
 	h := uint64(j.adapter+1) * 0x9e3779b97f4a7c15
 	return s.engines[(h>>33)%uint64(len(s.engines))]
 }
 
-func (s *simple) submit(j *job) {
+func (s *baseline) submit(j *job) {
 	e := s.pick(s, j)
-	slot := e.find(j.adapter)
-	j.waited = slot == nil || !slot.ready
+	slot := e.findSlot(j.adapter)
+	j.waitedForLoad = slot == nil || !slot.ready
 	e.waiting = append(e.waiting, j)
-	e.settle()
+	e.processQueue()
 }
 
-func (e *simpleEngine) find(adapter int) *simpleSlot {
+func (e *baselineEngine) findSlot(adapter int) *baselineSlot {
 	for _, s := range e.slots {
 		if s.adapter == adapter {
 			return s
@@ -70,93 +71,95 @@
 	return nil
 }
 
-// settle starts what can start, in order of arrival, and loads what is missing.
-func (e *simpleEngine) settle() {
+// processQueue starts the waiting requests that can start, in order of arrival, and
+// loads the adapters that are missing.
+func (e *baselineEngine) processQueue() {
 	now := e.sys.clock.now
-	kept := e.waiting[:0]
+	remaining := e.waiting[:0]
 	for _, j := range e.waiting {
-		slot := e.find(j.adapter)
+		slot := e.findSlot(j.adapter)
 		switch {
-		case now.Sub(j.at) >= patience:
+		case now.Sub(j.at) >= requestTimeout:
 			e.sys.refuse("deadline")
-		case slot != nil && slot.ready && len(e.batcher.running) < e.sys.batch:
+		case slot != nil && slot.ready && len(e.batcher.running) < e.sys.batchLimit:
 			e.start(j, slot)
 		default:
-			kept = append(kept, j)
+			remaining = append(remaining, j)
 			if slot == nil {
 				e.load(j.adapter)
 			}
 		}
 	}
-	e.waiting = kept
+	e.waiting = remaining
 }
 
-func (e *simpleEngine) start(j *job, slot *simpleSlot) {
+func (e *baselineEngine) start(j *job, slot *baselineSlot) {
 	slot.pins++
-	slot.used = e.sys.clock.now
-	if j.waited {
+	slot.lastUsed = e.sys.clock.now
+	if j.waitedForLoad {
 		j.stall = e.sys.clock.now.Sub(j.at)
 	}
 	e.batcher.add(j)
 }
 
-func (e *simpleEngine) load(adapter int) {
+func (e *baselineEngine) load(adapter int) {
 	if len(e.slots) >= e.sys.slots && !e.evict() {
 		return
 	}
-	slot := &simpleSlot{adapter: adapter, used: e.sys.clock.now}
+	slot := &baselineSlot{adapter: adapter, lastUsed: e.sys.clock.now}
 	e.slots = append(e.slots, slot)
 	e.sys.store.fetch(func(ok bool) {
 		slot.ready = ok
 		if !ok {
-			e.slots = slices.DeleteFunc(e.slots, func(s *simpleSlot) bool { return s == slot })
+			e.slots = slices.DeleteFunc(e.slots, func(s *baselineSlot) bool { return s == slot })
 		}
-		e.settle()
+		e.processQueue()
 	})
 }
 
-func (e *simpleEngine) evict() bool {
-	var oldest *simpleSlot
+func (e *baselineEngine) evict() bool {
+	var oldest *baselineSlot
 	for _, s := range e.slots {
-		if s.ready && s.pins == 0 && (oldest == nil || s.used.Before(oldest.used)) {
+		if s.ready && s.pins == 0 && (oldest == nil || s.lastUsed.Before(oldest.lastUsed)) {
 			oldest = s
 		}
 	}
-	e.slots = slices.DeleteFunc(e.slots, func(s *simpleSlot) bool { return s == oldest })
+	e.slots = slices.DeleteFunc(e.slots, func(s *baselineSlot) bool { return s == oldest })
 	return oldest != nil
 }
 
-func (e *simpleEngine) ended(j *job) {
-	if s := e.find(j.adapter); s != nil {
+func (e *baselineEngine) requestFinished(j *job) {
+	if s := e.findSlot(j.adapter); s != nil {
 		s.pins--
 	}
-	e.sys.out.note(e.sys.clock.now, j)
-	e.settle()
+	e.sys.result.record(e.sys.clock.now, j)
+	e.processQueue()
 }
 
-// oracle knows the future: all slots are one pool, the victim is the adapter that
-// is asked for last, loads go one at a time to the most waiters first, and every
-// request runs at once on a full step. It bounds the load stall from below as far
-// as that order of loads is the best.
+// oracle is a clairvoyant system. All slots form one pool, and the victim is the adapter
+// whose next request is furthest in the future. Loads run one at a time, the adapter with
+// the most waiting requests first. A request starts as soon as its adapter is resident,
+// without a batch limit. The load stall is a lower bound as far as that load order is
+// optimal.
 type oracle struct {
 	*replay
-	uses    map[int][]time.Time
-	held    map[int]bool
-	waiting map[int][]*job
-	busy    bool
+	useTimes map[int][]time.Time
+	resident map[int]bool
+	waiting  map[int][]*job
+	loading  bool
 }
 
 func newOracle(r *replay, seed uint64) *oracle {
-	o := &oracle{replay: r, uses: map[int][]time.Time{}, held: map[int]bool{}, waiting: map[int][]*job{}}
+	o := &oracle{replay: r, useTimes: map[int][]time.Time{}, resident: map[int]bool{}, waiting: map[int][]*job{}}
 	for _, a := range r.arrivals(seed) {
-		o.uses[a.adapter] = append(o.uses[a.adapter], a.at)
+		o.useTimes[a.adapter] = append(o.useTimes[a.adapter], a.at)
 	}
 	return o
 }
 
 func (o *oracle) submit(j *job) {
-	j.waited = !o.held[j.adapter]
-	if !j.waited {
+	j.waitedForLoad = !o.resident[j.adapter]
+	if !j.waitedForLoad {
 		o.serve(j)
 		return
 	}
@@ -166,14 +169,14 @@
 
 func (o *oracle) serve(j *job) {
 	j.started = o.clock.now
-	if j.waited {
+	if j.waitedForLoad {
 		j.stall = o.clock.now.Sub(j.at)
 	}
-	o.out.note(o.clock.now, j)
+	o.result.record(o.clock.now, j)
 }
 
 func (o *oracle) loadNext() {
-	if o.busy || len(o.waiting) == 0 {
+	if o.loading || len(o.waiting) == 0 {
 		return
 	}
 	best := -1
@@ -182,13 +185,13 @@
 			best = a
 		}
 	}
-	o.busy = true
+	o.loading = true
 	o.store.fetch(func(bool) {
-		o.busy = false
-		if len(o.held) >= o.engines*o.slots {
-			delete(o.held, o.farthest())
+		o.loading = false
+		if len(o.resident) >= o.engines*o.slots {
+			delete(o.resident, o.victim())
 		}
-		o.held[best] = true
+		o.resident[best] = true
 		for _, j := range o.waiting[best] {
 			o.serve(j)
 		}
@@ -197,12 +200,12 @@
 	})
 }
 
-// farthest returns the held adapter whose next use is the latest.
-func (o *oracle) farthest() int {
+// victim returns the resident adapter whose next request is the furthest in the future.
+func (o *oracle) victim() int {
 	best, at := -1, time.Time{}
-	for a := range o.held {
+	for a := range o.resident {
 		next := epoch.Add(time.Duration(math.MaxInt64 / 4))
-		uses := o.uses[a]
+		uses := o.useTimes[a]
 		if i, _ := slices.BinarySearchFunc(uses, o.clock.now, time.Time.Compare); i < len(uses) {
 			next = uses[i]
 		}
--- a/coord/doc.go
+++ b/coord/doc.go
@@ -1,13 +1,13 @@
-// Package coord is the coordination library of junctionfold: the decisions
-// that many entry VMs take together so that each request runs on exactly the
-// adapter and version it names, at most once where it must, and its caller
-// gets one whole answer.
+// Package coord is the coordination library of junctionfold. It holds the decisions
+// that many entry VMs take together to run each request on exactly the adapter and
+// version it names, at most once where that is required, and to return one complete
+// response to the caller.
 //
-// # How the parts are driven
+// # Event and action model
 //
-// Every part is a state machine. It has no clock, socket, goroutine or global
-// state. The caller feeds events together with the time and carries out the
-// actions that come back:
+// Every part is a state machine without a clock, sockets, goroutines or global
+// state. The caller passes in events with the current time and carries out the
+// actions that are returned:
 //
 //	acts := d.Submit(now, req)
 //	for _, a := range acts {
@@ -17,36 +17,39 @@
 //		}
 //	}
 //
-// A part is not safe for concurrent use; the code around it holds a lock while
-// it feeds an event and runs the actions after letting the lock go. Because
-// time comes in as a value, a pause, a late answer or a clock step is one row
-// of a test table.
+// A part is not safe for concurrent use. The caller holds a lock while it passes in
+// an event, and carries out the actions after releasing the lock. Time is a
+// parameter, which lets a test express a paused process, a late response or a clock
+// step as one row of a table.
 //
 // # The parts
 //
 //   - membership: which VMs are live, from the published list and heartbeats.
 //   - ownership: which VM may give orders to a target, and which adapters it
-//     must leave alone because an earlier owner may still use them.
-//   - placement: which targets should serve an adapter, as small filters,
+//     must not evict because an earlier owner may still use them.
+//   - placement: which targets should serve an adapter, composed of small filters,
 //     scorers and a picker.
-//   - residency: the adapter slots of one target, with pins and victims.
-//   - dispatch: the queue of one target; composes residency, priorities,
-//     deadlines and load order. This is the one place where a target's
-//     decisions come together.
-//   - loadturn: who may use the shared weight store next.
-//   - attempt: what is known of one request attempt: not sent, maybe sent,
+//   - residency: the adapter slots of one target, pinned adapters and the choice of
+//     adapters to evict.
+//   - dispatch: the request queue of one target. It combines residency, priorities,
+//     deadlines and load order, and is the only place where a target's decisions are
+//     made.
+//   - loadpermit: which load may use the shared weight store next.
+//   - attempt: the known state of one request attempt: not sent, maybe sent,
 //     answered.
-//   - outcome: records of keyed requests, so that a repeated one does not run
-//     twice.
-//   - confver: bundle versions that never go back.
+//   - outcome: records of keyed requests, which prevent a repeated request from
+//     running twice.
+//   - confver: bundle versions, which never decrease.
 //
-// The edge role uses these instead of ownership, placement and dispatch:
+// The edge role uses these packages instead of ownership, placement and dispatch:
 //
 //   - roster: which VMs are live, by gossip.
-//   - duty: which VM gives orders, and under which number.
-//   - scheduler: which engine serves a model request, and which adapters each holds.
-//   - enginecost: how fast engines are, learnt from their first events.
-//   - balance and retry: targets of plain services, and the budget of repeats.
+//   - leadership: which VM gives orders, and under which fencing token.
+//   - scheduler: which engine serves a model request, and which adapters each engine
+//     holds.
+//   - enginecost: how fast engines are, estimated from the times of first events.
+//   - balance and retry: the choice among targets of plain services, and the retry
+//     budget.
 package coord
 
 import (
@@ -54,36 +57,39 @@
 	"time"
 )
 
-// AbortedRequestTime is how long an engine may go on with a request after its connection
-// was closed, by the users' rules. Its adapter is in use until then.
+// AbortedRequestTime is the longest time for which an engine may keep running a request
+// after its connection was closed, as the users specify. The request's adapter is in use
+// until then.
 const AbortedRequestTime = 500 * time.Millisecond
 
-// VMID names a VM, as the published list does.
+// VMID identifies a VM by its name in the published VM list.
 type VMID string
 
-// RequestKey names a request: the VM that asks, and its number there, which grows also over
-// restarts of the VM.
+// RequestKey identifies a request by the VM that sends it and by a sequence number on that
+// VM, which keeps increasing across restarts of the VM.
 type RequestKey struct {
 	VM     VMID
 	Ticket uint64
 }
 
-// TargetID names a target, as the bundle does.
+// TargetID identifies a target by its name in the bundle.
 type TargetID string
 
-// Adapter is one adapter in one version. All parts are exact: there is no default
-// version.
+// Adapter identifies one version of an adapter. All fields must match exactly; there is
+// no default version.
 type Adapter struct {
-	// Name of the adapter; for a request to the base model, the base's name.
+	// Name is the name of the adapter, or of the base model in a request to the base
+	// model itself.
 	Name string
-	// Version of the adapter; empty for a request to the base model itself.
+	// Version is the version of the adapter. It is empty for a request to the base model
+	// itself.
 	Version string
-	// Revision tells a version that operators have made anew under its old name
-	// from the one before. Callers do not name it; targets do.
+	// Revision distinguishes the contents that operators have published under the same
+	// version name. Callers do not specify it; the adapter's name at a target includes it.
 	Revision int32
 }
 
-// Model gives the form that callers use: name@version.
+// Model returns the form that callers use: name@version.
 func (a Adapter) Model() string {
 	if a.Version == "" {
 		return a.Name
@@ -91,16 +97,16 @@
 	return a.Name + "@" + a.Version
 }
 
-// revisionMark stands between a version and its revision. Names of the bundle
-// cannot hold it.
-const revisionMark = "+"
+// revisionSeparator separates a version from its revision. Names in the bundle cannot
+// contain it.
+const revisionSeparator = "+"
 
-// String gives the name at a target, which differs for each revision.
+// String returns the adapter's name at a target, which differs for each revision.
 func (a Adapter) String() string {
 	if a.Revision == 0 {
 		return a.Model()
 	}
-	return a.Model() + revisionMark + strconv.Itoa(int(a.Revision))
+	return a.Model() + revisionSeparator + strconv.Itoa(int(a.Revision))
 }
 
 // IsBase reports whether a names a base model without an adapter.
--- a/coord/enginecost/engine.go
+++ b/coord/enginecost/engine.go
@@ -8,69 +8,73 @@
 	"github.com/junctionfold/junctionfold/coord"
 )
 
-// Figures of what one engine showed.
+// Parameters of the estimate of one engine.
 const (
-	// ownWeight is the least weight of one observation in an engine's own time per
-	// token: about four observations show that it has become slow.
-	ownWeight = 0.3
-	// ownHalfLife is the time in which what an engine showed loses half of its
-	// weight: a slow period lasts some seconds, a slower accelerator stays.
-	ownHalfLife = 20 * time.Second
-	// leastGain is the weight of an observation that was all overhead: the jitter of
-	// the way there and back is a good part of it.
-	leastGain = 0.3
-	// ownPrior is the weight of what holds for all engines, in observations.
-	ownPrior = 0.7
-	// ownBound bounds one observation of an engine, as a logarithm: a factor of 6.
-	ownBound = 1.8
-	// overdueShare of the time that a first event is overdue is expected to pass
-	// again until it comes.
-	overdueShare = 0.5
+	// minObservationWeight is the smallest weight of a new observation in the engine's own
+	// time per token, before it is multiplied by the gain of the observation. With it, about
+	// four observations show that an engine has become slow.
+	minObservationWeight = 0.3
+	// evidenceHalfLife is the time in which the observations of an engine lose half of
+	// their weight. A slow period lasts some seconds; a slower accelerator is permanent.
+	evidenceHalfLife = 20 * time.Second
+	// minGain is the weight of an observation that consists of overhead alone. The jitter
+	// of the network round trip is a large part of such an observation.
+	minGain = 0.3
+	// priorWeight is the weight of the estimate for all engines, in observations.
+	priorWeight = 0.7
+	// maxLogDeviation bounds the natural logarithm of the ratio of one observation to the
+	// estimate for all engines: a factor of 6.
+	maxLogDeviation = 1.8
+	// overdueFraction is the expected remaining wait for an overdue first event, as a
+	// fraction of the time that it is overdue.
+	overdueFraction = 0.5
 )
 
-// PendingPrompt is a request that an engine was sent and that has had no first event.
+// PendingPrompt is the prompt of a request that was sent to an engine and has had no first
+// event.
 type PendingPrompt struct {
-	tokens   float64 // to read
-	left     float64 // of these, as far as is believed
-	priority int
-	sent     time.Time
-	// began is when the engine began to read it; zero: others are ahead of it, or it
-	// is not known.
-	began time.Time
-	// due is when the first event is expected.
-	due time.Time
+	tokens    float64 // to prefill
+	remaining float64 // estimated number of these that are not prefilled yet
+	priority  int
+	sentAt    time.Time
+	// prefillStart is the time at which the prefill began. It is zero while other prompts
+	// are ahead, and if the time is unknown.
+	prefillStart time.Time
+	// expectedAt is the expected time of the first event.
+	expectedAt time.Time
 }
 
-// Engine is what is believed of one engine.
+// Engine holds the pending prompts of one engine and the estimate of its speed. The zero
+// value has no pending prompts and no observations.
 type Engine struct {
-	// queue has the prompts in the order in which the engine reads them.
+	// queue holds the pending prompts in the order in which the engine prefills them.
 	queue []*PendingPrompt
-	// at is until when queue was brought forward.
-	at time.Time
-	// own is the logarithm of the engine's own time per token in ms, weight how many
-	// observations of a moment ago it is worth at seen.
-	own    float64
-	weight float64
-	seen   time.Time
+	// advancedTo is the time up to which the remaining tokens in queue are estimated.
+	advancedTo time.Time
+	// logTimePerToken is the natural logarithm of the engine's own time per token in ms.
+	// evidenceWeight is its weight at lastObserved, as a number of fresh observations.
+	logTimePerToken float64
+	evidenceWeight  float64
+	lastObserved    time.Time
 }
 
-// Begin takes a request that is sent to the engine now. tokens is what of its prompt
-// the engine has to read.
+// Begin records a request that is sent to the engine now. tokens is the number of prompt
+// tokens that the engine has to prefill. Smaller priorities are more urgent.
 func (e *Engine) Begin(now time.Time, s *Speed, tokens, priority int) *PendingPrompt {
-	due := now.Add(e.TimeToFirstEvent(now, s, tokens, priority))
+	expectedAt := now.Add(e.TimeToFirstEvent(now, s, tokens, priority))
 	n := float64(max(tokens, 1))
-	p := &PendingPrompt{tokens: n, left: n, priority: priority, sent: now, due: due}
-	place := e.place(priority)
-	if place == 0 {
-		p.began = now
+	p := &PendingPrompt{tokens: n, remaining: n, priority: priority, sentAt: now, expectedAt: expectedAt}
+	index := e.queueIndex(priority)
+	if index == 0 {
+		p.prefillStart = now
 	}
-	e.queue = slices.Insert(e.queue, place, p)
+	e.queue = slices.Insert(e.queue, index, p)
 	return p
 }
 
-// place returns where a new prompt of a priority comes in the queue: the first one is
-// being read.
-func (e *Engine) place(priority int) int {
+// queueIndex returns the index in the queue for a new prompt of a priority. A new prompt
+// is never inserted before the first one, which is being prefilled.
+func (e *Engine) queueIndex(priority int) int {
 	for i, p := range e.queue {
 		if i > 0 && p.priority > priority {
 			return i
@@ -79,26 +83,27 @@
 	return len(e.queue)
 }
 
-// ObserveFirstEvent takes the first event of a request.
+// ObserveFirstEvent records the first event of a request and updates the estimates.
 func (e *Engine) ObserveFirstEvent(now time.Time, s *Speed, p *PendingPrompt) {
-	e.forward(now, s)
-	if !p.began.IsZero() {
-		took := ms(now.Sub(p.began))
-		e.learn(now, s, p.tokens, took)
-		s.learn(p.tokens, took, p.began.Equal(p.sent))
+	e.advance(now, s)
+	if !p.prefillStart.IsZero() {
+		tookMs := ms(now.Sub(p.prefillStart))
+		e.observePrefill(now, s, p.tokens, tookMs)
+		s.observePrefill(p.tokens, tookMs, p.prefillStart.Equal(p.sentAt))
 	}
 	e.remove(p, now.Add(-s.Overhead()))
 }
 
-// Drop takes the end of a request that has had no first event.
+// Drop records the end of a request that has had no first event. It has no effect on a
+// request that has been removed already.
 func (e *Engine) Drop(now time.Time, s *Speed, p *PendingPrompt) {
-	e.forward(now, s)
+	e.advance(now, s)
 	e.remove(p, time.Time{})
 }
 
-// remove takes a prompt out. The next one was begun at the time given, if the engine
-// was reading this one.
-func (e *Engine) remove(p *PendingPrompt, began time.Time) {
+// remove removes a prompt from the queue. If the engine was prefilling it, the prefill of
+// the next prompt begins at nextStart; zero means that the time is unknown.
+func (e *Engine) remove(p *PendingPrompt, nextStart time.Time) {
 	i := slices.Index(e.queue, p)
 	if i < 0 {
 		return
@@ -107,71 +112,72 @@
 	if i > 0 || len(e.queue) == 0 {
 		return
 	}
-	if next := e.queue[0]; next.began.IsZero() && !began.IsZero() {
-		next.began = coord.Later(began, next.sent)
+	if next := e.queue[0]; next.prefillStart.IsZero() && !nextStart.IsZero() {
+		next.prefillStart = coord.Later(nextStart, next.sentAt)
 	}
 }
 
-// learn takes how long the engine itself took. The more of it was reading, the more it
-// says: what is slow at an engine makes both parts longer.
-func (e *Engine) learn(now time.Time, s *Speed, tokens, took float64) {
-	reading := tokens * s.perToken.value()
-	expected := reading + s.overhead.value()
-	off := math.Log(max(took, leastShare*expected) / expected)
-	seen := s.perToken.log + min(max(off, -ownBound), ownBound)
-	gain := max(reading/expected, leastGain)
-	weight := e.evidence(now) + gain
-	e.own += gain * max(1/weight, ownWeight) * (seen - e.own)
-	e.weight = min(weight, 1/ownWeight)
-	e.seen = now
+// observePrefill updates the engine's own time per token with a first event that came tookMs
+// after the prefill of so many tokens began. A slow engine lengthens both the prefill and the
+// overhead; the weight of the observation grows with the prefill's part of the expected time.
+func (e *Engine) observePrefill(now time.Time, s *Speed, tokens, tookMs float64) {
+	prefill := tokens * s.timePerToken.value()
+	expected := prefill + s.overhead.value()
+	deviation := math.Log(max(tookMs, minObservedFraction*expected) / expected)
+	observed := s.timePerToken.logValue + min(max(deviation, -maxLogDeviation), maxLogDeviation)
+	gain := max(prefill/expected, minGain)
+	weight := e.evidenceAt(now) + gain
+	e.logTimePerToken += gain * max(1/weight, minObservationWeight) * (observed - e.logTimePerToken)
+	e.evidenceWeight = min(weight, 1/minObservationWeight)
+	e.lastObserved = now
 }
 
-// evidence is how many observations the engine's own time per token is worth now.
-func (e *Engine) evidence(now time.Time) float64 {
-	if e.weight == 0 {
+// evidenceAt returns the decayed weight of the engine's own time per token, in observations.
+func (e *Engine) evidenceAt(now time.Time) float64 {
+	if e.evidenceWeight == 0 {
 		return 0
 	}
-	return e.weight * math.Exp2(-float64(now.Sub(e.seen))/float64(ownHalfLife))
+	return e.evidenceWeight * math.Exp2(-float64(now.Sub(e.lastObserved))/float64(evidenceHalfLife))
 }
 
-// perToken is the engine's time per token in ms, as believed.
-func (e *Engine) perToken(now time.Time, s *Speed) float64 {
-	weight := e.evidence(now)
-	return math.Exp(s.perToken.log + weight/(weight+ownPrior)*(e.own-s.perToken.log))
+// timePerToken returns the estimated time per token of the engine in ms.
+func (e *Engine) timePerToken(now time.Time, s *Speed) float64 {
+	weight := e.evidenceAt(now)
+	return math.Exp(s.timePerToken.logValue + weight/(weight+priorWeight)*(e.logTimePerToken-s.timePerToken.logValue))
 }
 
-// forward lets the engine read until now.
-func (e *Engine) forward(now time.Time, s *Speed) {
-	tokens := ms(now.Sub(e.at)) / e.perToken(now, s)
-	e.at = now
+// advance reduces the remaining tokens by the estimated prefill until now.
+func (e *Engine) advance(now time.Time, s *Speed) {
+	tokens := ms(now.Sub(e.advancedTo)) / e.timePerToken(now, s)
+	e.advancedTo = now
 	for _, p := range e.queue {
 		if tokens <= 0 {
 			return
 		}
-		read := min(p.left, tokens)
-		p.left -= read
-		tokens -= read
+		prefilled := min(p.remaining, tokens)
+		p.remaining -= prefilled
+		tokens -= prefilled
 	}
 }
 
-// TimeToFirstEvent is the expected time to the first event of a request that would be sent
+// TimeToFirstEvent returns the expected time to the first event of a request if it is sent
 // now.
 func (e *Engine) TimeToFirstEvent(now time.Time, s *Speed, tokens, priority int) time.Duration {
-	e.forward(now, s)
+	e.advance(now, s)
 	ahead := float64(tokens)
-	for _, p := range e.queue[:e.place(priority)] {
-		ahead += p.left
+	for _, p := range e.queue[:e.queueIndex(priority)] {
+		ahead += p.remaining
 	}
-	own := e.perToken(now, s)
-	return duration(own*(ahead+s.overhead.value()/s.perToken.value())) + e.overdue(now)
+	perToken := e.timePerToken(now, s)
+	return duration(perToken*(ahead+s.overhead.value()/s.timePerToken.value())) + e.overdueDelay(now)
 }
 
-// overdue is how much longer the prompt that is being read is expected to take beyond
-// what was believed.
-func (e *Engine) overdue(now time.Time) time.Duration {
+// overdueDelay returns the expected additional delay because the first event of the prompt
+// that is being prefilled is overdue.
+func (e *Engine) overdueDelay(now time.Time) time.Duration {
 	if len(e.queue) == 0 {
 		return 0
 	}
-	late := now.Sub(e.queue[0].due)
-	return time.Duration(overdueShare * float64(max(late, 0)))
+	overdue := now.Sub(e.queue[0].expectedAt)
+	return time.Duration(overdueFraction * float64(max(overdue, 0)))
 }
--- a/coord/enginecost/quantity.go
+++ b/coord/enginecost/quantity.go
@@ -2,46 +2,48 @@
 
 import "math"
 
-// quantity tracks the median of a positive quantity by steps in its logarithm: each
-// observation moves it up or down by a step, however far off the observation is. Steps
-// grow while observations agree on the direction and shrink while they do not.
-type quantity struct {
-	log  float64
-	step float64
-	up   bool
+// medianEstimate tracks the median of a positive quantity by steps in its logarithm. Each
+// observation moves it up or down by at most one step, however large the deviation is. Steps grow
+// while observations lie on the same side of the estimate and shrink while they alternate.
+type medianEstimate struct {
+	logValue float64
+	step     float64
+	lastUp   bool
 }
 
-// Figures of the steps, in natural logarithms.
+// Parameters of the steps, in natural logarithms.
 const (
-	// firstStep of a quantity that is only a prior: a factor of ten is made up for in
-	// about eight observations.
-	firstStep = 0.3
-	maxStep   = 0.5
-	// minStep keeps it moving with what changes slowly: 1% an observation.
+	// initialStep is the first step from a prior. With it, about eight observations correct
+	// a factor of ten.
+	initialStep = 0.3
+	maxStep     = 0.5
+	// minStep keeps the estimate following slow changes: 1% per observation.
 	minStep = 0.01
-	// stepGrowth and stepShrink follow an observation on the same side as the one
-	// before, and on the other side.
+	// stepGrowth is the factor of the step after an observation on the same side as the
+	// previous one, stepShrink after an observation on the other side.
 	stepGrowth = 1.2
 	stepShrink = 0.6
 )
 
-func newQuantity(prior float64) quantity { return quantity{log: math.Log(prior), step: firstStep} }
+func newMedianEstimate(prior float64) medianEstimate {
+	return medianEstimate{logValue: math.Log(prior), step: initialStep}
+}
 
-func (q *quantity) value() float64 { return math.Exp(q.log) }
+func (m *medianEstimate) value() float64 { return math.Exp(m.logValue) }
 
-// observe takes how many times larger than believed the quantity was seen to be.
+// observe updates the estimate with the ratio of an observation to the current estimate.
 // ratio must be positive.
-func (q *quantity) observe(ratio float64) {
-	off := math.Log(ratio)
-	if off == 0 {
+func (m *medianEstimate) observe(ratio float64) {
+	deviation := math.Log(ratio)
+	if deviation == 0 {
 		return
 	}
-	up := off > 0
-	if up == q.up {
-		q.step = min(q.step*stepGrowth, maxStep)
+	up := deviation > 0
+	if up == m.lastUp {
+		m.step = min(m.step*stepGrowth, maxStep)
 	} else {
-		q.step = max(q.step*stepShrink, minStep)
+		m.step = max(m.step*stepShrink, minStep)
 	}
-	q.up = up
-	q.log += math.Copysign(min(q.step, math.Abs(off)), off)
+	m.lastUp = up
+	m.logValue += math.Copysign(min(m.step, math.Abs(deviation)), deviation)
 }
--- a/coord/enginecost/speed.go
+++ b/coord/enginecost/speed.go
@@ -2,69 +2,73 @@
 
 import "time"
 
-// Priors of a service of which nothing was seen yet; learning makes up for a factor of
-// ten either way within some tens of requests.
+// Priors for a service without observations. The estimates correct a factor of ten in
+// either direction within some tens of requests.
 const (
-	// priorPerToken is that of a model of 70 billion parameters on one accelerator.
-	priorPerToken = 40 * time.Microsecond
-	priorOverhead = 25 * time.Millisecond
-	// priorRun is a stream of some hundred tokens.
-	priorRun = 2 * time.Second
+	// priorTimePerToken is the time per token of a model with 70 billion parameters on one
+	// accelerator.
+	priorTimePerToken = 40 * time.Microsecond
+	priorOverhead     = 25 * time.Millisecond
+	// priorStreamTime is the time of a stream of some hundred tokens.
+	priorStreamTime = 2 * time.Second
 )
 
-// runWeight is the weight of one stream in the mean time that streams run.
-const runWeight = 0.02
+// streamTimeWeight is the weight of one stream in the exponentially weighted moving average
+// of stream times.
+const streamTimeWeight = 0.02
 
-// Speed is what is believed of all engines of a service. Times are in ms.
+// Speed holds the estimates that apply to all engines of a service. Times are in ms.
 type Speed struct {
-	perToken quantity
-	overhead quantity
-	run      float64
+	timePerToken medianEstimate
+	overhead     medianEstimate
+	meanStreamMs float64
 }
 
-// NewSpeed returns the priors.
+// NewSpeed returns a Speed with the priors.
 func NewSpeed() *Speed {
 	return &Speed{
-		perToken: newQuantity(ms(priorPerToken)),
-		overhead: newQuantity(ms(priorOverhead)),
-		run:      ms(priorRun),
+		timePerToken: newMedianEstimate(ms(priorTimePerToken)),
+		overhead:     newMedianEstimate(ms(priorOverhead)),
+		meanStreamMs: ms(priorStreamTime),
 	}
 }
 
-// PrefillTime returns the time to read tokens at an ordinary engine.
+// PrefillTime returns the expected time to prefill tokens at an engine of usual speed.
 func (s *Speed) PrefillTime(tokens int) time.Duration {
-	return duration(float64(tokens) * s.perToken.value())
+	return duration(float64(tokens) * s.timePerToken.value())
 }
 
-// Overhead returns the time to the first event besides waiting and reading.
+// Overhead returns the expected time to the first event beyond the wait and the prefill.
 func (s *Speed) Overhead() time.Duration { return duration(s.overhead.value()) }
 
-// MeanStreamTime returns the mean time that a stream runs after its first event.
-func (s *Speed) MeanStreamTime() time.Duration { return duration(s.run) }
+// MeanStreamTime returns the mean time from the first event of a stream to its end.
+func (s *Speed) MeanStreamTime() time.Duration { return duration(s.meanStreamMs) }
 
-// ObserveStream takes the time from the first event of a stream to its end.
-func (s *Speed) ObserveStream(took time.Duration) { s.run += runWeight * (ms(took) - s.run) }
+// ObserveStream records the time from the first event of a stream to its end.
+func (s *Speed) ObserveStream(took time.Duration) {
+	s.meanStreamMs += streamTimeWeight * (ms(took) - s.meanStreamMs)
+}
 
-// learn takes a first event that came took ms after the engine began to read so many
-// tokens. The larger part of the expected time is the one that is learnt; the overhead
-// only where the engine began at once, since it is needed to tell when one that was busy
-// began.
-func (s *Speed) learn(tokens, took float64, atOnce bool) {
-	reading := tokens * s.perToken.value()
+// observePrefill updates the estimates with a first event that came tookMs after the engine
+// began to prefill so many tokens. It updates the estimate of the larger part of the expected
+// time. It updates the overhead only if the prefill began as soon as the request was sent,
+// because the begin of a later prefill is itself derived from the overhead.
+func (s *Speed) observePrefill(tokens, tookMs float64, startedAtOnce bool) {
+	prefill := tokens * s.timePerToken.value()
 	overhead := s.overhead.value()
-	if reading > overhead {
-		s.perToken.observe(max(took-overhead, leastShare*reading) / reading)
+	if prefill > overhead {
+		s.timePerToken.observe(max(tookMs-overhead, minObservedFraction*prefill) / prefill)
 		return
 	}
-	if !atOnce {
+	if !startedAtOnce {
 		return
 	}
-	s.overhead.observe(max(took-reading, leastShare*overhead) / overhead)
+	s.overhead.observe(max(tookMs-prefill, minObservedFraction*overhead) / overhead)
 }
 
-// leastShare bounds from below what one observation can say of a part, in parts of what
-// was believed of it.
-const leastShare = 0.1
+// minObservedFraction bounds one observation of a time from below, as a fraction of its
+// estimate.
+const minObservedFraction = 0.1
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
--- a/coord/loadlimit/loadlimit.go
+++ b/coord/loadlimit/loadlimit.go
@@ -1,159 +1,164 @@
-// Package loadlimit learns how many adapters may be on their way from the weight store at
-// once.
+// Package loadlimit estimates how many adapters can be loaded from the weight store
+// concurrently.
 //
-// A store serves some loads at full speed; with more on their way, all of them take longer
-// in proportion, and what is expected of each is wrong. With fewer, loads wait that the
-// store could serve: a fleet whose callers ask for new adapters all day is then held to a
-// part of the store's rate. How many it is, is published nowhere. It shows in the loads
-// themselves: beyond it nearly every load is late, below it nearly none.
+// A store serves a certain number of concurrent loads at full speed. With more, all loads
+// slow down in proportion, and the expected load times are wrong. With fewer, loads wait
+// although the store has capacity: a fleet whose callers keep requesting new adapters is
+// then limited to a fraction of the store's rate. The number is published nowhere. It shows
+// in the load times: above the limit nearly every load is late, below it nearly none.
 //
-// Limit answers a line of loads that is full for long. It begins with a guess, grows by
-// steps while the line is full and loads come in time, and goes back when most loads of a
-// step are late; then it waits before it tries again, longer each time in a row. Single late
-// loads, of a slow engine or a lost answer, change nothing, and what a cluster of them takes
-// is regained within seconds.
+// Limit adapts to a load queue that stays full. It starts from an initial value, grows in
+// steps while loads have to wait and are on time, and shrinks when most loads of a step are
+// late. It then backs off before the next growth, longer with each consecutive late step.
+// Single late loads, caused by a slow engine or a lost response, change nothing. If several
+// of them at once cause a shrink, the limit recovers within seconds.
 //
 // Limit has no clock and does no I/O. It is not safe for concurrent use.
 package loadlimit
 
 import "time"
 
-// Figures of the search.
+// Parameters of the search.
 const (
-	// votes is how many loads judge a step: one engine has four on their way at most, so
-	// that three engines at least have a say.
-	votes = 9
-	// lateVotes of these make a step too much: beyond the store's limit all loads are
-	// late, and an engine in four may be slow by itself.
-	lateVotes = 7
-	// startGrowth is the step before the first late one, each the time of a load and of
-	// its first answer, some 0.4 s. In a played storm of new adapters, from 24 of 32 on,
-	// 0.917 of the requests of 12 s were in time with it and 0.859 with 1.5.
-	startGrowth = 1.25
-	// laterGrowth is a step after that. Loads that take 6 in 100 longer than expected are
-	// noticed: they are expected with a margin of 15 ms to 250.
-	laterGrowth = 1.07
-	// firstPause is the time from a late step to the next try; it doubles with each in a
-	// row, up to maxPause. A try that is too much makes half a second's loads late by a
-	// tenth.
-	firstPause = 4 * time.Second
-	maxPause   = 16 * time.Second
-	// drainTime is how long after a step back the loads that were too many are still on
-	// their way and make others late.
+	// votesPerStep is the number of loads that decide on a step. One engine has at most four
+	// loads in progress, which means that at least three engines take part.
+	votesPerStep = 9
+	// lateVotesToShrink is the number of late loads among these that lowers the limit. Above
+	// the store's limit all loads are late; one engine in four may be slow for other reasons.
+	lateVotesToShrink = 7
+	// initialGrowth is the growth factor until the first late step. Each step takes the time
+	// of a load and of its first response, some 0.4 s. In a simulated storm of requests for
+	// new adapters, with an initial limit of 24 at a store limit of 32, 0.917 of the requests
+	// of 12 s were in time with it and 0.859 with 1.5.
+	initialGrowth = 1.25
+	// probeGrowth is the growth factor after that. Loads that take 6% longer than expected
+	// are detected as late, because a load of 250 ms is expected with a margin of 15 ms.
+	probeGrowth = 1.07
+	// growBackoffMin is the time from a late step to the next growth. It doubles with each
+	// consecutive late step, up to growBackoffMax. A growth beyond the store's limit makes
+	// the loads of half a second late by a tenth.
+	growBackoffMin = 4 * time.Second
+	growBackoffMax = 16 * time.Second
+	// drainTime is how long the excess loads stay in progress after a shrink and make other
+	// loads late.
 	drainTime = 300 * time.Millisecond
-	// least, and leastShare of the guess, are kept whatever loads show.
-	least      = 4
-	leastShare = 0.25
+	// A shrink leaves at least minLimit, and at least minLimitFraction of the initial value.
+	minLimit         = 4
+	minLimitFraction = 0.25
 )
 
-// Limit is what is believed of one store.
+// Limit is the estimated concurrency limit of one store.
 type Limit struct {
-	guess  int
-	value  float64
-	growth float64
-	// step counts the values; loads of earlier ones do not judge this one, nor those begun
-	// before judgeFrom.
+	initial int
+	value   float64
+	growth  float64
+	// step is incremented with each change of value. Only loads that began in the current
+	// step and not before votesFrom count as votes.
 	step      int
-	judgeFrom time.Time
-	// seen and late count this step's votes; full says that a load had to wait for room
-	// in the line meanwhile.
-	seen, late int
-	full       bool
-	// inTime says that a step's loads came in time since the last late one, and tried that
-	// a step up was made since.
-	inTime, tried bool
-	// pause is the time from the next late step to the next try, growAt when that may be.
-	pause  time.Duration
-	growAt time.Time
+	votesFrom time.Time
+	// voteCount and lateCount are the votes of the current step and the late ones among them.
+	// full reports whether a load had to wait for the limit during the step.
+	voteCount, lateCount int
+	full                 bool
+	// onTimeSinceShrink reports whether the loads of a step were on time since the last late
+	// step, grewSinceShrink whether the limit was raised since then.
+	onTimeSinceShrink, grewSinceShrink bool
+	// backoff is the time from the next late step to the growth after it; nextGrowth is the
+	// earliest time of the next growth.
+	backoff    time.Duration
+	nextGrowth time.Time
 }
 
-// StartedLoad is what is remembered of a load from its beginning; the zero value judges nothing.
+// StartedLoad is the state that Limit keeps for a load in progress. The zero value has no
+// effect on the limit.
 type StartedLoad struct {
 	step   int
-	judges bool
+	counts bool
 }
 
-// New returns a Limit that begins with a guess, in loads on their way at once.
-func New(guess int) *Limit {
-	return &Limit{guess: guess, value: float64(guess), growth: startGrowth, pause: firstPause}
+// New returns a Limit with an initial value, in concurrent loads.
+func New(initial int) *Limit {
+	return &Limit{initial: initial, value: float64(initial), growth: initialGrowth, backoff: growBackoffMin}
 }
 
-// SetInitial begins anew if the guess has changed.
-func (l *Limit) SetInitial(guess int) {
-	if guess != l.guess {
-		*l = *New(guess)
+// SetInitial resets the limit to a new initial value. It has no effect if the value has not
+// changed.
+func (l *Limit) SetInitial(initial int) {
+	if initial != l.initial {
+		*l = *New(initial)
 	}
 }
 
-// Max returns how many loads may be on their way.
+// Max returns the maximum number of concurrent loads.
 func (l *Limit) Max() int { return int(l.value + 0.5) }
 
-// Begin takes the beginning of a load.
+// Begin records the start of a load. The result must be passed to End.
 func (l *Limit) Begin(now time.Time) StartedLoad {
-	return StartedLoad{step: l.step, judges: !now.Before(l.judgeFrom)}
+	return StartedLoad{step: l.step, counts: !now.Before(l.votesFrom)}
 }
 
-// ObserveFull takes that a load has to wait since Max are on their way.
+// ObserveFull records that a load has to wait because Max loads are in progress.
 func (l *Limit) ObserveFull() { l.full = true }
 
-// End takes whether a load was there when it was expected.
+// End records whether a load was late, that is, not complete at its expected time.
 func (l *Limit) End(now time.Time, s StartedLoad, late bool) {
-	if s.step != l.step || !s.judges {
+	if s.step != l.step || !s.counts {
 		return
 	}
-	l.seen++
+	l.voteCount++
 	if late {
-		l.late++
+		l.lateCount++
 	}
-	if l.seen < votes {
+	if l.voteCount < votesPerStep {
 		return
 	}
-	tooMuch, full := l.late >= lateVotes, l.full
-	l.seen, l.late, l.full = 0, 0, false
-	if tooMuch {
+	overloaded, full := l.lateCount >= lateVotesToShrink, l.full
+	l.voteCount, l.lateCount, l.full = 0, 0, false
+	if overloaded {
 		l.shrink(now)
 		return
 	}
-	l.inTime = true
-	if full && !now.Before(l.growAt) {
+	l.onTimeSinceShrink = true
+	if full && !now.Before(l.nextGrowth) {
 		l.grow()
 	}
 }
 
-// shrink takes back the last step, and more where the one before was too much as well.
+// shrink reverts the last growth. If no step was on time since the previous shrink, it
+// divides the limit by initialGrowth instead.
 func (l *Limit) shrink(now time.Time) {
-	back, overshot := startGrowth, l.inTime && l.growth == startGrowth
-	if l.inTime {
-		back = l.growth
+	factor, overshot := initialGrowth, l.onTimeSinceShrink && l.growth == initialGrowth
+	if l.onTimeSinceShrink {
+		factor = l.growth
 	}
-	if !overshot { // else small steps follow at once
-		l.growAt = now.Add(l.pauseNow())
+	if !overshot { // otherwise growth by probeGrowth continues at once
+		l.nextGrowth = now.Add(l.growBackoff())
 	}
-	if l.tried && !overshot {
-		l.pause = min(2*l.pause, maxPause)
+	if l.grewSinceShrink && !overshot {
+		l.backoff = min(2*l.backoff, growBackoffMax)
 	}
-	l.growth = laterGrowth
-	l.inTime, l.tried = false, false
-	l.set(max(l.value/back, least, leastShare*float64(l.guess)))
-	l.judgeFrom = now.Add(drainTime)
+	l.growth = probeGrowth
+	l.onTimeSinceShrink, l.grewSinceShrink = false, false
+	l.set(max(l.value/factor, minLimit, minLimitFraction*float64(l.initial)))
+	l.votesFrom = now.Add(drainTime)
 }
 
-// pauseNow is the time until the next try. Where a step of one load is more than laterGrowth
-// makes loads later, it is made half as often.
-func (l *Limit) pauseNow() time.Duration {
-	if l.value*laterGrowth < l.value+1 {
-		return 2 * l.pause
+// growBackoff returns the time until the next growth. It is twice as long at small limits,
+// where a step of one load exceeds probeGrowth and makes loads later.
+func (l *Limit) growBackoff() time.Duration {
+	if l.value*probeGrowth < l.value+1 {
+		return 2 * l.backoff
 	}
-	return l.pause
+	return l.backoff
 }
 
-// grow makes a step up. The first one after a late one is a try; with the second the row of
-// late ones has ended.
+// grow raises the limit by one step. The first growth after a late step is a probe. The
+// second one ends the series of late steps and resets the backoff.
 func (l *Limit) grow() {
-	if l.tried || l.growth == startGrowth {
-		l.pause = firstPause
+	if l.grewSinceShrink || l.growth == initialGrowth {
+		l.backoff = growBackoffMin
 	}
-	l.tried = true
+	l.grewSinceShrink = true
 	l.set(max(l.value*l.growth, l.value+1))
 }
 
--- a/coord/loadlimit/loadlimit_test.go
+++ b/coord/loadlimit/loadlimit_test.go
@@ -9,141 +9,146 @@
 	"gotest.tools/v3/assert"
 )
 
-// Figures of the store's model, as the users state them.
+// Parameters of the modeled store, as the users specify them.
 const (
-	loadTime = 250 * time.Millisecond
-	margin   = 15 * time.Millisecond
-	// answer is how long after a load's expected end its first request tells.
-	answer = 100 * time.Millisecond
+	fullSpeedLoadTime = 250 * time.Millisecond
+	margin            = 15 * time.Millisecond
+	// outcomeDelay is the time from the expected end of a load until its first request shows
+	// whether it was late.
+	outcomeDelay = 100 * time.Millisecond
 )
 
-// load is one load of the model: its end is moved when others begin or end.
+// load is one load in the model. Its end moves while more loads than the store's limit are in
+// progress.
 type load struct {
 	began time.Time
 	start StartedLoad
-	ends  time.Time
+	end   time.Time
 }
 
-// tells is a load whose outcome becomes known at a time.
-type tells struct {
+// outcome is the outcome of a load, which becomes known at a time.
+type outcome struct {
 	at    time.Time
 	start StartedLoad
 	late  bool
 }
 
-type tellings []tells
+type outcomeQueue []outcome
 
-func (t tellings) Len() int           { return len(t) }
-func (t tellings) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
-func (t tellings) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *tellings) Push(x any)        { *t = append(*t, x.(tells)) }
-func (t *tellings) Pop() any          { old := *t; x := old[len(old)-1]; *t = old[:len(old)-1]; return x }
+func (t outcomeQueue) Len() int           { return len(t) }
+func (t outcomeQueue) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
+func (t outcomeQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *outcomeQueue) Push(x any)        { *t = append(*t, x.(outcome)) }
+func (t *outcomeQueue) Pop() any          { old := *t; x := old[len(old)-1]; *t = old[:len(old)-1]; return x }
 
-// played is what a run of the model shows.
-type played struct {
-	loads, late int
-	max         int // the limit at the end
-	highest     int
+// simulationResult holds the measurements of a simulation.
+type simulationResult struct {
+	loads, late  int
+	finalLimit   int
+	highestLimit int
 }
 
-// play lets callers ask for new adapters at a rate for a time, against a store that serves
-// so many loads at full speed. slow is the share of loads that are late by themselves.
-func play(l *Limit, atOnce int, rate float64, length time.Duration, slow float64, seed uint64) played {
+// simulate runs requests for new adapters at the given rate per second against a store that
+// serves storeLimit concurrent loads at full speed. slow is the fraction of loads that are late
+// for other reasons.
+func simulate(l *Limit, storeLimit int, rate float64, length time.Duration, slow float64, seed uint64) simulationResult {
 	const step = time.Millisecond
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1000, 0)
-	var out played
-	var underWay []*load
-	var told tellings
+	var result simulationResult
+	var inProgress []*load
+	var outcomes outcomeQueue
 	waiting := 0.0
 	for now := start; now.Sub(start) < length; now = now.Add(step) {
 		waiting += rate * step.Seconds()
-		stretch := max(1, float64(len(underWay))/float64(atOnce))
-		rest := underWay[:0]
-		for _, x := range underWay {
-			x.ends = x.ends.Add(time.Duration(float64(step) * (1 - 1/stretch)))
-			if now.Before(x.ends) {
-				rest = append(rest, x)
+		slowdown := max(1, float64(len(inProgress))/float64(storeLimit))
+		remaining := inProgress[:0]
+		for _, x := range inProgress {
+			x.end = x.end.Add(time.Duration(float64(step) * (1 - 1/slowdown)))
+			if now.Before(x.end) {
+				remaining = append(remaining, x)
 				continue
 			}
-			out.loads++
-			late := now.Sub(x.began) > loadTime+margin || rng.Float64() < slow
+			result.loads++
+			late := now.Sub(x.began) > fullSpeedLoadTime+margin || rng.Float64() < slow
 			if late {
-				out.late++
+				result.late++
 			}
-			heap.Push(&told, tells{x.began.Add(loadTime + margin + answer), x.start, late})
+			heap.Push(&outcomes, outcome{x.began.Add(fullSpeedLoadTime + margin + outcomeDelay), x.start, late})
 		}
-		underWay = rest
-		for len(told) > 0 && !told[0].at.After(now) {
-			x := heap.Pop(&told).(tells)
+		inProgress = remaining
+		for len(outcomes) > 0 && !outcomes[0].at.After(now) {
+			x := heap.Pop(&outcomes).(outcome)
 			l.End(now, x.start, x.late)
 		}
-		for waiting >= 1 && len(underWay) < l.Max() {
+		for waiting >= 1 && len(inProgress) < l.Max() {
 			waiting--
-			underWay = append(underWay, &load{began: now, ends: now.Add(loadTime), start: l.Begin(now)})
+			inProgress = append(inProgress, &load{began: now, end: now.Add(fullSpeedLoadTime), start: l.Begin(now)})
 		}
 		if waiting >= 1 {
 			l.ObserveFull()
 		}
-		out.highest = max(out.highest, l.Max())
+		result.highestLimit = max(result.highestLimit, l.Max())
 	}
-	out.max = l.Max()
-	return out
+	result.finalLimit = l.Max()
+	return result
 }
 
-// TestFindsTheStoresLimit: callers ask for more new adapters than the store serves, all
-// through the day. What they get is the store's rate, whatever the guess was, and few loads
-// are late.
+// TestFindsTheStoresLimit checks that the limit converges to that of the store while callers
+// permanently request more new adapters than the store serves: whatever the initial value,
+// they get the store's rate and few loads are late.
 func TestFindsTheStoresLimit(t *testing.T) {
 	for _, row := range []struct {
-		name          string
-		guess, atOnce int
+		name                string
+		initial, storeLimit int
 	}{
-		{"half of it", 16, 32}, {"a quarter", 8, 32}, {"a little less", 24, 32}, {"right", 32, 32}, {"right, small", 8, 8},
+		{"half", 16, 32}, {"a quarter", 8, 32}, {"a little less", 24, 32}, {"exact", 32, 32}, {"exact, small", 8, 8},
 		{"double", 64, 32}, {"large", 40, 120}, {"slow store", 16, 8},
 	} {
 		for _, slow := range []float64{0, 0.1} {
 			t.Run(row.name, func(t *testing.T) {
-				l := New(row.guess)
-				got := play(l, row.atOnce, 1e4, 30*time.Second, slow, 7)
-				served := float64(row.atOnce) / loadTime.Seconds() * 30
+				l := New(row.initial)
+				got := simulate(l, row.storeLimit, 1e4, 30*time.Second, slow, 7)
+				served := float64(row.storeLimit) / fullSpeedLoadTime.Seconds() * 30
 				assert.Assert(t, float64(got.loads) > 0.9*served, "%d loads of %.0f", got.loads, served)
-				assert.Assert(t, got.max >= row.atOnce*9/10 && got.max <= row.atOnce*115/100+1, "ends with %d", got.max)
+				assert.Assert(t, got.finalLimit >= row.storeLimit*9/10 && got.finalLimit <= row.storeLimit*115/100+1, "final limit %d", got.finalLimit)
 				assert.Assert(t, float64(got.late) < (0.2+slow)*float64(got.loads), "%d late of %d", got.late, got.loads)
 			})
 		}
 	}
 }
 
-// TestFixedGuessServesLess: what the limit gains over a constant of half the right size, and
-// how soon. Measured: 2,016 loads in 30 s with the constant, 3,700 or more with the search.
-func TestFixedGuessServesLess(t *testing.T) {
-	const constant = 16 / 0.265 * 30 // loads of a line of 16, each until it is expected to be there
-	got := play(New(16), 32, 1e4, 30*time.Second, 0, 1)
+// TestSearchServesMoreThanFixedLimit compares the search with a constant limit of half the
+// store's limit. In 30 s the constant serves 2,016 loads, the search 3,700 or more. The test
+// also bounds how soon the gain shows.
+func TestSearchServesMoreThanFixedLimit(t *testing.T) {
+	const constant = 16 / 0.265 * 30 // loads with a limit of 16, each of which ends at its expected time
+	got := simulate(New(16), 32, 1e4, 30*time.Second, 0, 1)
 	assert.Assert(t, float64(got.loads) > 1.9*constant, "%d loads", got.loads)
-	early := play(New(16), 32, 1e4, 4*time.Second, 0, 1)
-	assert.Assert(t, early.loads > 340, "%d in the first 4 s, of 512 and 256", early.loads)
+	early := simulate(New(16), 32, 1e4, 4*time.Second, 0, 1)
+	assert.Assert(t, early.loads > 340, "%d loads in the first 4 s; the store's limit allows 512, the constant 256", early.loads)
 }
 
-// TestLineThatIsNotFullSaysNothing: few loads at a time are in time, whatever the limit.
-func TestLineThatIsNotFullSaysNothing(t *testing.T) {
+// TestLimitStaysWhileLoadsAreBelowIt checks that loads that never reach the limit do not
+// change it: they are on time whatever the limit is.
+func TestLimitStaysWhileLoadsAreBelowIt(t *testing.T) {
 	l := New(16)
-	got := play(l, 32, 20, 30*time.Second, 0.1, 1)
-	assert.Equal(t, got.highest, 16)
+	got := simulate(l, 32, 20, 30*time.Second, 0.1, 1)
+	assert.Equal(t, got.highestLimit, 16)
 	assert.Equal(t, l.Max(), 16)
 }
 
-// TestSlowEnginesAreNotTheStore: of a line that is full a tenth, a quarter of the loads late
-// by themselves make no step back.
-func TestSlowEnginesAreNotTheStore(t *testing.T) {
+// TestSlowEnginesDoNotShrinkTheLimit checks that the limit does not shrink while loads wait and
+// a tenth or a quarter of them are late because of slow engines.
+func TestSlowEnginesDoNotShrinkTheLimit(t *testing.T) {
 	for _, slow := range []float64{0.1, 0.25} {
-		got := play(New(32), 64, 1e4, 20*time.Second, slow, 3)
-		assert.Assert(t, got.max >= 57, "%d with %.2f late", got.max, slow)
+		got := simulate(New(32), 64, 1e4, 20*time.Second, slow, 3)
+		assert.Assert(t, got.finalLimit >= 57, "%d with %.2f late", got.finalLimit, slow)
 	}
 }
 
-// TestNeverBelowItsLeast: whatever is late, some loads are made.
-func TestNeverBelowItsLeast(t *testing.T) {
+// TestLimitStaysAtOrAboveMinimum checks that some loads are allowed even if all are late.
+func TestLimitStaysAtOrAboveMinimum(t *testing.T) {
 	l := New(16)
 	now := time.Unix(0, 0)
 	for range 500 {
@@ -156,9 +161,9 @@
 		now = now.Add(time.Second)
 		l.End(now, l.Begin(now), true)
 	}
-	assert.Equal(t, l.Max(), least)
+	assert.Equal(t, l.Max(), minLimit)
 	l.SetInitial(4)
-	assert.Equal(t, l.Max(), least)
+	assert.Equal(t, l.Max(), minLimit)
 	l.SetInitial(24)
 	assert.Equal(t, l.Max(), 24)
 }
--- a/coord/loadpermit/example_test.go
+++ b/coord/loadpermit/example_test.go
@@ -9,11 +9,11 @@
 
 func ExampleIssuer() {
 	now := time.Unix(0, 0)
-	g := loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, MaxHoldTime: 5 * time.Second})
-	fmt.Println(g.Request(now, loadpermit.Request{ID: 1, Priority: 1}))
-	g.Request(now, loadpermit.Request{ID: 2, Priority: 1})
-	g.Request(now, loadpermit.Request{ID: 3, Priority: 9})
-	fmt.Println(g.Cancel(now.Add(time.Second), 1)) // 1 is done; 3 is worth most
+	issuer := loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, MaxHoldTime: 5 * time.Second})
+	fmt.Println(issuer.Request(now, loadpermit.Request{ID: 1, Priority: 1}))
+	issuer.Request(now, loadpermit.Request{ID: 2, Priority: 1})
+	issuer.Request(now, loadpermit.Request{ID: 3, Priority: 9})
+	fmt.Println(issuer.Cancel(now.Add(time.Second), 1)) // 1 has finished; 3 has the highest priority
 	// Output:
 	// [1]
 	// [3]
--- a/coord/loadpermit/loadturn.go
+++ b/coord/loadpermit/loadturn.go
@@ -1,111 +1,113 @@
-// Package loadturn shares one weight store among the targets of a fleet. One VM,
-// chosen by rendezvous, runs a Giver; the owners of targets ask it for turns.
-// Turns are soft state: when the giver is lost, or two VMs believe they are it,
-// loads get slower and nothing else happens.
+// Package loadpermit limits the load on one weight store that the targets of a fleet
+// share. One VM, chosen by rendezvous hashing, runs an Issuer, and the owners of targets
+// request load permits from it. Permits are soft state: if the VM with the Issuer fails, or
+// if two VMs run one, loads get slower and nothing else happens.
 //
-// Turns go to the request of the highest value. A turn that is not given back
-// is taken back after Hold. Operations are O(waiting).
+// Permits are granted to the waiting request with the highest priority. A permit that is
+// not returned is revoked after MaxHoldTime. Operations take O(n) time for n waiting
+// requests.
 package loadpermit
 
 import "time"
 
-// Config holds the settings of a Giver.
+// Config holds the settings of an Issuer.
 type Config struct {
-	// PerSecond is how many loads the weight store allows each second.
+	// PerSecond is the maximum rate of loads from the weight store, per second.
 	PerSecond float64
-	// Concurrent is how many loads may run at once.
+	// Concurrent is the maximum number of concurrent loads.
 	Concurrent int
-	// MaxHoldTime is the longest time that a turn lasts.
+	// MaxHoldTime is the time after which a permit is revoked.
 	MaxHoldTime time.Duration
 }
 
-// Request is a waiting request for a turn.
+// Request is a request for a permit.
 type Request struct {
-	// ID is the asker's own name for the request.
+	// ID identifies the request; the caller chooses it.
 	ID uint64
-	// Priority orders the requests; higher goes first.
+	// Priority orders the waiting requests; the highest is granted first.
 	Priority float64
 }
 
-// Issuer hands out turns.
+// Issuer issues load permits.
 type Issuer struct {
-	cfg     Config
-	waiting []Request
-	out     map[uint64]time.Time
-	nextAt  time.Time
+	cfg         Config
+	waiting     []Request
+	outstanding map[uint64]time.Time
+	nextGrantAt time.Time
 }
 
-// New returns a Giver with no turns out.
+// New returns an Issuer with no outstanding permits.
 func New(cfg Config) *Issuer {
-	return &Issuer{cfg: cfg, out: map[uint64]time.Time{}}
+	return &Issuer{cfg: cfg, outstanding: map[uint64]time.Time{}}
 }
 
-// Request queues a request and returns the ids whose turn has come.
-func (g *Issuer) Request(now time.Time, a Request) []uint64 {
-	g.waiting = append(g.waiting, a)
-	return g.Tick(now)
+// Request queues a request and returns the IDs of the requests that are granted now.
+func (iss *Issuer) Request(now time.Time, r Request) []uint64 {
+	iss.waiting = append(iss.waiting, r)
+	return iss.Tick(now)
 }
 
-// RaisePriority changes the value of a waiting request.
-func (g *Issuer) RaisePriority(id uint64, value float64) {
-	for i := range g.waiting {
-		if g.waiting[i].ID == id {
-			g.waiting[i].Priority = value
+// RaisePriority sets the priority of a waiting request. Other IDs are ignored.
+func (iss *Issuer) RaisePriority(id uint64, priority float64) {
+	for i := range iss.waiting {
+		if iss.waiting[i].ID == id {
+			iss.waiting[i].Priority = priority
 		}
 	}
 }
 
-// Cancel withdraws a request or gives a turn back.
-func (g *Issuer) Cancel(now time.Time, id uint64) []uint64 {
-	delete(g.out, id)
-	for i, a := range g.waiting {
-		if a.ID == id {
-			g.waiting = append(g.waiting[:i], g.waiting[i+1:]...)
+// Cancel withdraws a waiting request or returns a permit. It returns the IDs of the
+// requests that are granted now.
+func (iss *Issuer) Cancel(now time.Time, id uint64) []uint64 {
+	delete(iss.outstanding, id)
+	for i, r := range iss.waiting {
+		if r.ID == id {
+			iss.waiting = append(iss.waiting[:i], iss.waiting[i+1:]...)
 			break
 		}
 	}
-	return g.Tick(now)
+	return iss.Tick(now)
 }
 
-// Tick returns the ids whose turn has come.
-func (g *Issuer) Tick(now time.Time) []uint64 {
-	g.takeBack(now)
+// Tick revokes expired permits and returns the IDs of the requests that are granted now.
+func (iss *Issuer) Tick(now time.Time) []uint64 {
+	iss.revokeExpired(now)
 	var granted []uint64
-	for len(g.waiting) > 0 && len(g.out) < g.cfg.Concurrent && !now.Before(g.nextAt) {
-		a := g.takeBest()
-		g.out[a.ID] = now
-		g.nextAt = now.Add(g.gap())
-		granted = append(granted, a.ID)
+	for len(iss.waiting) > 0 && len(iss.outstanding) < iss.cfg.Concurrent && !now.Before(iss.nextGrantAt) {
+		r := iss.popHighestPriority()
+		iss.outstanding[r.ID] = now
+		iss.nextGrantAt = now.Add(iss.grantInterval())
+		granted = append(granted, r.ID)
 	}
 	return granted
 }
 
-// NextGrant returns when Tick can grant again at the earliest.
-func (g *Issuer) NextGrant() time.Time { return g.nextAt }
+// NextGrant returns the earliest time at which Tick can grant another request.
+func (iss *Issuer) NextGrant() time.Time { return iss.nextGrantAt }
 
-func (g *Issuer) gap() time.Duration {
-	return time.Duration(float64(time.Second) / g.cfg.PerSecond)
+func (iss *Issuer) grantInterval() time.Duration {
+	return time.Duration(float64(time.Second) / iss.cfg.PerSecond)
 }
 
-func (g *Issuer) takeBack(now time.Time) {
-	for id, since := range g.out {
-		if now.Sub(since) >= g.cfg.MaxHoldTime {
-			delete(g.out, id)
+func (iss *Issuer) revokeExpired(now time.Time) {
+	for id, since := range iss.outstanding {
+		if now.Sub(since) >= iss.cfg.MaxHoldTime {
+			delete(iss.outstanding, id)
 		}
 	}
 }
 
-func (g *Issuer) takeBest() Request {
+func (iss *Issuer) popHighestPriority() Request {
 	best := 0
-	for i, a := range g.waiting {
-		if a.Priority > g.waiting[best].Priority {
+	for i, r := range iss.waiting {
+		if r.Priority > iss.waiting[best].Priority {
 			best = i
 		}
 	}
-	a := g.waiting[best]
-	g.waiting = append(g.waiting[:best], g.waiting[best+1:]...)
-	return a
+	r := iss.waiting[best]
+	iss.waiting = append(iss.waiting[:best], iss.waiting[best+1:]...)
+	return r
 }
 
-// SetRate takes a new rate.
-func (g *Issuer) SetRate(perSecond float64) { g.cfg.PerSecond = perSecond }
+// SetRate sets the maximum rate of loads, per second.
+func (iss *Issuer) SetRate(perSecond float64) { iss.cfg.PerSecond = perSecond }
--- a/coord/loadtime/loadtime.go
+++ b/coord/loadtime/loadtime.go
@@ -1,139 +1,151 @@
-// Package loadtime learns how long engines take to load an adapter.
+// Package loadtime estimates how long engines take to load an adapter.
 //
-// The time is published nowhere, differs between deployments, and nothing says when a load
-// ends: an order is answered as it begins, and reports lag. It shows in the first requests
-// after a load. One that is refused says that the load takes longer than the time since its
-// order; one that runs says that it takes no longer.
+// The time is published nowhere, differs between deployments, and nothing signals the end
+// of a load: an engine acknowledges a load order when the load begins, and its reports lag.
+// The time shows in the first requests after a load. A rejected request shows that the load
+// takes longer than the time since its order; a request that runs shows that it takes no
+// longer.
 //
-// Estimate holds a time that nearly all loads are known to take at most. Refusals after that
-// time raise it, by steps that grow while load after load shows the same. It comes down by
-// trials: one load in some dozens is expected sooner, by a part that grows while trials
-// succeed. Too early costs a rejected arrival and the pause until the next, so only single
-// loads try; too late costs every request of a load the difference.
+// Estimate holds an upper bound of the time that nearly all loads take. Rejections after
+// that time raise it, in steps that grow while consecutive loads are late. Trials lower it:
+// one load in some dozens is expected sooner, by a fraction that grows while trials succeed.
+// A request that is sent too early costs a rejected arrival and the delay until the retry;
+// for that reason only single loads are trials. An estimate that is too long delays every
+// request that waits for a load by the difference.
 //
-// Two other ways were weighed, beside a constant: a staircase, in which every request that
-// runs lowers the estimate a little, and a quantile over the times that the last loads
-// showed (TestWays). Loads that begin together are expected by one figure, so that both ask
-// too early by the dozen whenever they come down.
+// TestTrialsCostLessThanAlternatives compares the trials with a constant and with two other
+// estimators: a staircase, in which every request that runs lowers the estimate a little, and
+// a quantile of the observed times of the last loads. Loads that begin together share one
+// estimate. Whenever either of these two lowers it, dozens of requests are sent too early.
 //
 // Estimate has no clock and does no I/O. It is not safe for concurrent use.
 package loadtime
 
 import "time"
 
-// Figures of the way up, as parts of the estimate.
+// Parameters of raising the estimate, as fractions of it.
 const (
-	// raiseStep follows a first refusal: the times of one deployment's loads differ by less.
-	raiseStep = 0.02
-	// maxRaise bounds the step, which doubles with each further load that is refused while
-	// none is in time: 250 ms become 600 ms within six tries of the loads under way.
+	// initialRaise is the step after a first late load. The load times of one deployment
+	// differ by less.
+	initialRaise = 0.02
+	// maxRaise bounds the step, which doubles with each further late load while none is on
+	// time. An estimate of 250 ms reaches 600 ms within six attempts of the loads in progress.
 	maxRaise = 0.25
 )
 
-// Figures of the trials.
+// Parameters of the trials.
 const (
-	// firstGap is how many loads there are to one that tries; the gap doubles with a trial
-	// that failed, up to maxGap: some 1 in 100 loads is refused by a trial then.
-	firstGap = 4
-	maxGap   = 96
-	// firstTrial is the part of the estimate that is tried to save; it doubles with each
-	// success up to maxTrial: 600 ms become 290 ms within five trials.
-	firstTrial = 0.03
-	maxTrial   = 0.25
-	// confirmations is how many trials in a row must succeed: loads differ, and one that is
-	// quick says little of the others.
-	confirmations = 3
+	// minTrialInterval is the initial number of loads per trial. The interval doubles with
+	// each failed trial of the smallest reduction, up to maxTrialInterval. About 1 in 100
+	// loads then has a request rejected because of a trial.
+	minTrialInterval = 4
+	maxTrialInterval = 96
+	// minTrialReduction is the initial fraction of the estimate by which a trial shortens it.
+	// It doubles with each success up to maxTrialReduction: 600 ms fall to 290 ms within five
+	// trials.
+	minTrialReduction = 0.03
+	maxTrialReduction = 0.25
+	// requiredSuccesses is the number of consecutive trials that must succeed before the
+	// estimate is lowered. Load times vary, and one fast load says little about the others.
+	requiredSuccesses = 3
 )
 
-// Bounds of an estimate: below is a message's way, beyond no engine is usable.
+// Bounds of an estimate. A shorter time is below the network delay of a message; with a
+// longer one no engine is usable.
 const (
-	least = 2 * time.Millisecond
-	most  = 10 * time.Second
+	minEstimate = 2 * time.Millisecond
+	maxEstimate = 10 * time.Second
 )
 
-// Estimate is the expected time from the answer to a load's order until requests may be sent.
+// Estimate is the expected time from the acknowledgement of a load order until requests may
+// be sent.
 type Estimate struct {
 	value time.Duration
-	// long is how many loads in a row took longer, the last of them lastLong.
-	long     int
-	lastLong uint64
-	// untried loads began since the last trial.
-	untried, gap int
-	trial        float64
-	// succeeded trials in a row, and the longest time of one.
-	succeeded int
-	longest   time.Duration
+	// consecutiveLate is the number of consecutive loads that took longer than expected,
+	// lastLateLoad the last of them.
+	consecutiveLate int
+	lastLateLoad    uint64
+	// loadsSinceTrial is the number of loads that began since the last trial; one load in
+	// trialInterval is a trial, which shortens the estimate by the fraction trialReduction.
+	loadsSinceTrial, trialInterval int
+	trialReduction                 float64
+	// consecutiveSuccesses is the number of consecutive successful trials, longestSuccess the
+	// longest time among them.
+	consecutiveSuccesses int
+	longestSuccess       time.Duration
 }
 
-// New returns an Estimate that begins with a prior.
+// New returns an Estimate with a prior.
 func New(prior time.Duration) *Estimate {
-	return &Estimate{value: prior, gap: firstGap, trial: firstTrial}
+	return &Estimate{value: prior, trialInterval: minTrialInterval, trialReduction: minTrialReduction}
 }
 
 // Value returns the expected time.
 func (e *Estimate) Value() time.Duration { return e.value }
 
-// Next returns the time after which the first requests of a load that begins now are to be
-// sent: the expected one, or less as a trial.
+// Next returns the time after which to send the first requests for a load that begins now.
+// It is the expected time, or less if the load is a trial.
 func (e *Estimate) Next() time.Duration {
-	e.untried++
-	if e.untried < e.gap {
+	e.loadsSinceTrial++
+	if e.loadsSinceTrial < e.trialInterval {
 		return e.value
 	}
-	e.untried = 0
-	return max(time.Duration((1-e.trial)*float64(e.value)), least)
+	e.loadsSinceTrial = 0
+	return max(time.Duration((1-e.trialReduction)*float64(e.value)), minEstimate)
 }
 
-// Refused takes that a request was refused which was sent so long after its load began, since
-// the load was not over. load names the load.
+// Refused records that a request was rejected because its load was not complete. after is the
+// time from the start of the load until the request was sent; load identifies the load.
 func (e *Estimate) Refused(load uint64, after time.Duration) {
-	e.succeeded, e.longest = 0, 0
+	e.consecutiveSuccesses, e.longestSuccess = 0, 0
 	if after >= e.value {
 		e.raise(load)
 		return
 	}
-	if e.trial = max(e.trial/2, firstTrial); e.trial == firstTrial {
-		e.gap = min(2*e.gap, maxGap)
+	if e.trialReduction = max(e.trialReduction/2, minTrialReduction); e.trialReduction == minTrialReduction {
+		e.trialInterval = min(2*e.trialInterval, maxTrialInterval)
 	}
 }
 
-// raise takes that a load takes longer than expected. What one load shows again raises little.
+// raise increases the estimate because a load took longer than expected. Consecutive
+// rejections for the same load raise it only once.
 func (e *Estimate) raise(load uint64) {
-	if load == e.lastLong && e.long > 0 {
+	if load == e.lastLateLoad && e.consecutiveLate > 0 {
 		return
 	}
-	step := min(raiseStep*float64(uint(1)<<min(e.long, 8)), maxRaise)
-	e.long++
-	e.lastLong = load
-	e.value = min(time.Duration((1+step)*float64(e.value)), most)
+	step := min(initialRaise*float64(uint(1)<<min(e.consecutiveLate, 8)), maxRaise)
+	e.consecutiveLate++
+	e.lastLateLoad = load
+	e.value = min(time.Duration((1+step)*float64(e.value)), maxEstimate)
 }
 
-// Ran takes that a request ran that was sent so long after its load began. refused is when an
-// earlier one of that load was refused; 0: none was.
+// Ran records that a request ran. after is the time from the start of its load until the
+// request was sent. refused is the same time of an earlier request for that load that was
+// rejected, or 0 if there was none.
 func (e *Estimate) Ran(load uint64, refused, after time.Duration) {
 	switch {
 	case refused > e.value:
-		e.lastLong = 0
+		e.lastLateLoad = 0
 		e.raise(load)
-	case refused > 0: // by a trial, or before the estimate was raised
+	case refused > 0: // rejected during a trial, or before the estimate was raised
 		e.value = min(e.value, after)
 	case after < e.value:
-		e.long = 0
-		e.succeed(after)
+		e.consecutiveLate = 0
+		e.trialSucceeded(after)
 	default:
-		e.long = 0
+		e.consecutiveLate = 0
 	}
 }
 
-// succeed takes a trial that came in time.
-func (e *Estimate) succeed(after time.Duration) {
-	e.succeeded++
-	e.longest = max(e.longest, after)
-	e.gap = firstGap
-	if e.succeeded < confirmations {
+// trialSucceeded records a trial whose load was complete in time.
+func (e *Estimate) trialSucceeded(after time.Duration) {
+	e.consecutiveSuccesses++
+	e.longestSuccess = max(e.longestSuccess, after)
+	e.trialInterval = minTrialInterval
+	if e.consecutiveSuccesses < requiredSuccesses {
 		return
 	}
-	e.value = max(e.longest, least)
-	e.succeeded, e.longest = 0, 0
-	e.trial = min(2*e.trial, maxTrial)
+	e.value = max(e.longestSuccess, minEstimate)
+	e.consecutiveSuccesses, e.longestSuccess = 0, 0
+	e.trialReduction = min(2*e.trialReduction, maxTrialReduction)
 }
--- a/coord/loadtime/loadtime_test.go
+++ b/coord/loadtime/loadtime_test.go
@@ -10,113 +10,114 @@
 	"gotest.tools/v3/assert"
 )
 
-// way is a way to learn; Estimate is one.
-type way interface {
+// estimator estimates load times; Estimate is one implementation.
+type estimator interface {
 	Next() time.Duration
 	Refused(load uint64, after time.Duration)
 	Ran(load uint64, refused, after time.Duration)
 }
 
-// constant is the way before: a figure that holds for the deployments known so far.
+// constant is a fixed load time, which fits only the deployments known so far.
 type constant time.Duration
 
 func (c constant) Next() time.Duration                          { return time.Duration(c) }
 func (constant) Refused(uint64, time.Duration)                  {}
 func (constant) Ran(_ uint64, _ time.Duration, _ time.Duration) {}
 
-// quantile takes the time that 95 of 100 of the last loads did not exceed, as far as shown.
+// quantile is the 95th percentile of the observed times of the last loads.
 type quantile struct {
-	prior time.Duration
-	shown []time.Duration
+	prior    time.Duration
+	observed []time.Duration
 }
 
 func (q *quantile) Next() time.Duration {
-	if len(q.shown) == 0 {
+	if len(q.observed) == 0 {
 		return q.prior
 	}
-	sorted := slices.Sorted(slices.Values(q.shown))
+	sorted := slices.Sorted(slices.Values(q.observed))
 	return sorted[len(sorted)*95/100]
 }
 
 func (*quantile) Refused(uint64, time.Duration) {}
 
 func (q *quantile) Ran(_ uint64, refused, after time.Duration) {
-	shown := time.Duration(0.98 * float64(after))
+	estimate := time.Duration(0.98 * float64(after))
 	if refused > 0 {
-		shown = after
+		estimate = after
 	}
-	q.shown = append(q.shown, shown)
-	if len(q.shown) > 32 {
-		q.shown = q.shown[1:]
+	q.observed = append(q.observed, estimate)
+	if len(q.observed) > 32 {
+		q.observed = q.observed[1:]
 	}
 }
 
-// staircase is raised by a refusal and lowered a little by each request that ran, more
-// while no refusal comes.
+// staircase is raised by each rejection and lowered a little by each request that runs, by
+// more while there is no rejection.
 type staircase struct {
-	value time.Duration
-	lower float64
+	value     time.Duration
+	reduction float64
 }
 
 func (s *staircase) Next() time.Duration { return s.value }
 
 func (s *staircase) Refused(_ uint64, after time.Duration) {
 	s.value = max(s.value, time.Duration(1.03*float64(after)))
-	s.lower = 0.0005
+	s.reduction = 0.0005
 }
 
 func (s *staircase) Ran(_ uint64, refused, after time.Duration) {
 	if refused == 0 && after <= s.value {
-		s.value = time.Duration((1 - s.lower) * float64(s.value))
-		s.lower = min(1.08*s.lower, 0.03)
+		s.value = time.Duration((1 - s.reduction) * float64(s.value))
+		s.reduction = min(1.08*s.reduction, 0.03)
 	}
 }
 
-// cost is what a way's errors cost the callers of some loads.
+// cost is the cost of the estimator's errors to the callers of a number of loads.
 type cost struct {
-	early int           // loads asked too early, once or more
-	tries int           // rejected arrivals
-	late  time.Duration // mean time that a request waited for longer than it had to
+	earlyLoads     int           // loads whose first request was sent too early
+	rejections     int           // rejected arrivals
+	meanExcessWait time.Duration // mean time between the end of a load and its first accepted request
 }
 
 func (c cost) String() string {
-	return fmt.Sprintf("%d early, %d rejected arrivals, waited %v", c.early, c.tries, c.late.Round(100*time.Microsecond))
+	return fmt.Sprintf("%d early loads, %d rejected arrivals, mean excess wait %v", c.earlyLoads, c.rejections, c.meanExcessWait.Round(100*time.Microsecond))
 }
 
-const pause = 60 * time.Millisecond
+const retryDelay = 60 * time.Millisecond
 
-// play lets loads of several engines, eight at a time, take what took returns.
-func play(w way, loads int, took func(load, engine int) time.Duration) (c cost) {
+// simulate runs loads of several engines, eight at a time, with the load times that loadTimeOf
+// returns.
+func simulate(e estimator, loads int, loadTimeOf func(load, engine int) time.Duration) (c cost) {
 	var waited time.Duration
 	for i := 0; i < loads; i += 8 {
-		type one struct{ next, refused, ran time.Duration }
-		var batch [8]one
+		type loadState struct{ next, refused, ran time.Duration }
+		var batch [8]loadState
 		for k := range batch {
-			batch[k].next = w.Next()
+			batch[k].next = e.Next()
 		}
 		for round := range 100 {
 			for k := range batch {
-				l, id, real := &batch[k], uint64(i+k+1), took(i+k, (i+k)%20)
+				l, id, loadTime := &batch[k], uint64(i+k+1), loadTimeOf(i+k, (i+k)%20)
 				if l.ran > 0 {
 					continue
 				}
-				at := l.next + time.Duration(round)*pause
-				if at >= real {
+				at := l.next + time.Duration(round)*retryDelay
+				if at >= loadTime {
 					l.ran = at
-					w.Ran(id, l.refused, at)
-					waited += at - real
+					e.Ran(id, l.refused, at)
+					waited += at - loadTime
 					continue
 				}
 				if round == 0 {
-					c.early++
+					c.earlyLoads++
 				}
-				c.tries++
+				c.rejections++
 				l.refused = at
-				w.Refused(id, at)
+				e.Refused(id, at)
 			}
 		}
 	}
-	c.late = waited / time.Duration(loads)
+	c.meanExcessWait = waited / time.Duration(loads)
 	return c
 }
 
@@ -124,43 +125,44 @@
 	return func(int, int) time.Duration { return d }
 }
 
-// TestLearnsAnyTime: whatever a deployment's loads take, few are asked too early once some
-// have shown it, and requests wait for little longer than they must.
-func TestLearnsAnyTime(t *testing.T) {
-	for _, real := range []time.Duration{25, 40, 60, 100, 250, 288, 400, 600} {
-		real *= time.Millisecond
+// TestEstimateConvergesForAnyLoadTime checks that after the first loads few requests are sent too
+// early and requests wait only a little longer than necessary, for load times from 25 ms to 600 ms.
+func TestEstimateConvergesForAnyLoadTime(t *testing.T) {
+	for _, loadTime := range []time.Duration{25, 40, 60, 100, 250, 288, 400, 600} {
+		loadTime *= time.Millisecond
 		prior := 250 * time.Millisecond
-		if real < 100*time.Millisecond {
+		if loadTime < 100*time.Millisecond {
 			prior = 25 * time.Millisecond
 		}
 		e := New(prior)
-		first := play(e, 200, always(real))
-		then := play(e, 1000, always(real))
-		t.Logf("%v: the first 200 loads: %v; the next 1000: %v", real, first, then)
-		assert.Assert(t, then.early <= 60)
-		assert.Assert(t, then.late <= real*4/100)
-		assert.Assert(t, first.tries <= 80)
+		initial := simulate(e, 200, always(loadTime))
+		settled := simulate(e, 1000, always(loadTime))
+		t.Logf("%v: the first 200 loads: %v; the next 1000: %v", loadTime, initial, settled)
+		assert.Assert(t, settled.earlyLoads <= 60)
+		assert.Assert(t, settled.meanExcessWait <= loadTime*4/100)
+		assert.Assert(t, initial.rejections <= 80)
 	}
 }
 
-// TestFollowsAChange: the time changes within a day. After some hundred loads requests wait
-// for a tenth of it at most beyond what they must.
-func TestFollowsAChange(t *testing.T) {
+// TestEstimateFollowsChangedLoadTime changes the load time. After some hundred loads requests may
+// wait at most a tenth of the load time longer than necessary.
+func TestEstimateFollowsChangedLoadTime(t *testing.T) {
 	for _, change := range [][2]time.Duration{{288, 600}, {600, 288}, {250, 100}, {100, 250}} {
 		e := New(250 * time.Millisecond)
-		play(e, 400, always(change[0]*time.Millisecond))
-		c := play(e, 120, always(change[1]*time.Millisecond))
-		then := play(e, 400, always(change[1]*time.Millisecond))
-		t.Logf("%v: the next 120 loads: %v; 400 after these: %v", change, c, then)
-		assert.Assert(t, then.early <= 24)
-		assert.Assert(t, then.late <= change[1]*time.Millisecond/10)
+		simulate(e, 400, always(change[0]*time.Millisecond))
+		transition := simulate(e, 120, always(change[1]*time.Millisecond))
+		settled := simulate(e, 400, always(change[1]*time.Millisecond))
+		t.Logf("%v: the next 120 loads: %v; 400 after these: %v", change, transition, settled)
+		assert.Assert(t, settled.earlyLoads <= 24)
+		assert.Assert(t, settled.meanExcessWait <= change[1]*time.Millisecond/10)
 	}
 }
 
-// TestOneSlowEngine: its refusals say little of the others.
-func TestOneSlowEngine(t *testing.T) {
+// TestSlowEngineBarelyRaisesEstimate checks that the rejections of one slow engine have little
+// effect on the common estimate.
+func TestSlowEngineBarelyRaisesEstimate(t *testing.T) {
 	e := New(288 * time.Millisecond)
-	c := play(e, 2000, func(_, engine int) time.Duration {
+	c := simulate(e, 2000, func(_, engine int) time.Duration {
 		if engine == 7 {
 			return 1440 * time.Millisecond
 		}
@@ -170,48 +172,50 @@
 	assert.Assert(t, e.Value() < 350*time.Millisecond)
 }
 
-// TestSpread: of loads that differ by a tenth either way one in five is asked too early at
-// most, and the estimate stays near the longest. More caution would gain nothing: each ms more
-// saves one load in 58 a rejected arrival of 60 ms.
-func TestSpread(t *testing.T) {
+// TestEstimateWithVaryingLoadTimes varies the load times by a tenth in either direction. At most one
+// load in five may get a request too early, and the estimate must stay near the longest time. A
+// higher estimate would gain nothing: each additional ms prevents a rejected arrival, which costs
+// 60 ms, for one load in 58.
+func TestEstimateWithVaryingLoadTimes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	e := New(250 * time.Millisecond)
-	c := play(e, 2000, func(int, int) time.Duration {
+	c := simulate(e, 2000, func(int, int) time.Duration {
 		return time.Duration(288 * (0.9 + 0.2*rng.Float64()) * float64(time.Millisecond))
 	})
 	t.Log(c, e.Value())
 	assert.Assert(t, e.Value() < 350*time.Millisecond)
-	assert.Assert(t, c.early < 2000/5)
+	assert.Assert(t, c.earlyLoads < 2000/5)
 }
 
-// TestWays compares the ways by what their errors cost: 60 ms for each rejected arrival, and
-// the time waited.
-func TestWays(t *testing.T) {
-	for _, real := range []time.Duration{100, 250, 288, 600} {
-		real *= time.Millisecond
-		price := map[string]time.Duration{}
-		for name, w := range map[string]way{
+// TestTrialsCostLessThanAlternatives compares the estimators by the cost of their errors per load:
+// 60 ms for each rejected arrival, and the excess wait.
+func TestTrialsCostLessThanAlternatives(t *testing.T) {
+	for _, loadTime := range []time.Duration{100, 250, 288, 600} {
+		loadTime *= time.Millisecond
+		costPerLoad := map[string]time.Duration{}
+		for name, e := range map[string]estimator{
 			"constant": constant(265 * time.Millisecond), "quantile": &quantile{prior: 250 * time.Millisecond},
-			"staircase": &staircase{value: 250 * time.Millisecond, lower: 0.0005}, "trials": New(250 * time.Millisecond),
+			"staircase": &staircase{value: 250 * time.Millisecond, reduction: 0.0005}, "trials": New(250 * time.Millisecond),
 		} {
-			c := play(w, 1200, always(real))
-			price[name] = c.late + time.Duration(c.tries)*pause/1200
-			t.Logf("%v, %s: %v; %v a load", real, name, c, price[name].Round(100*time.Microsecond))
+			c := simulate(e, 1200, always(loadTime))
+			costPerLoad[name] = c.meanExcessWait + time.Duration(c.rejections)*retryDelay/1200
+			t.Logf("%v, %s: %v; %v per load", loadTime, name, c, costPerLoad[name].Round(100*time.Microsecond))
 		}
-		assert.Assert(t, price["trials"] <= price["quantile"])
-		assert.Assert(t, price["trials"] <= price["staircase"])
+		assert.Assert(t, costPerLoad["trials"] <= costPerLoad["quantile"])
+		assert.Assert(t, costPerLoad["trials"] <= costPerLoad["staircase"])
 	}
 }
 
-// TestBounds: nothing makes an estimate senseless.
-func TestBounds(t *testing.T) {
+// TestEstimateStaysWithinBounds checks that long series of rejections or of fast loads leave the
+// estimate within its bounds.
+func TestEstimateStaysWithinBounds(t *testing.T) {
 	e := New(25 * time.Millisecond)
 	for i := range 1000 {
 		e.Refused(uint64(i+1), time.Hour)
 	}
-	assert.Equal(t, e.Value(), most)
+	assert.Equal(t, e.Value(), maxEstimate)
 	for range 10_000 {
 		e.Ran(1, 0, time.Microsecond)
 	}
-	assert.Equal(t, e.Value(), least)
+	assert.Equal(t, e.Value(), minEstimate)
 }
--- a/coord/replay_test.go
+++ b/coord/replay_test.go
@@ -15,38 +15,40 @@
 	"github.com/junctionfold/junctionfold/coord/rendezvous"
 )
 
-// scenario is one case of the replay: arrivals and faults at one of the users'
-// sizes.
+// scenario is one case of the replay: a fleet of one of the users' sizes, with its
+// request arrivals and faults.
 type scenario struct {
-	name     string
-	engines  int
-	slots    int
-	batch    int
-	adapters int
-	// rate of arrivals, a second; zipf is the skew of adapters' popularity.
+	name       string
+	engines    int
+	slots      int
+	batchLimit int
+	adapters   int
+	// rate is the number of arrivals per second; zipf is the exponent of the popularity
+	// distribution of adapters.
 	rate   float64
 	zipf   float64
 	length time.Duration
-	// shiftAt renames the adapters at that time; burstAt sends half of all
-	// requests to three adapters for ten seconds; coldAt empties an engine.
+	// At shiftAt the popularity of the adapters is reassigned. From burstAt on, half of
+	// all requests use three adapters for ten seconds. At coldAt one engine restarts
+	// with empty slots. Zero disables the fault.
 	shiftAt, burstAt, coldAt time.Duration
-	// failLoads is the share of loads that fail.
-	failLoads float64
-	// high is the share of requests of a higher priority.
-	high float64
+	// loadFailureRate is the fraction of loads that fail.
+	loadFailureRate float64
+	// highPriorityShare is the fraction of requests with a higher priority.
+	highPriorityShare float64
 }
 
-// Figures of the engines and the weight store.
+// Parameters of the modeled engines and weight store.
 const (
-	loadAlone  = time.Second / 3
-	stepBase   = 10 * time.Millisecond
-	stepEach   = 500 * time.Microsecond
-	meanTokens = 100
-	patience   = 30 * time.Second
+	uncontendedLoadTime = time.Second / 3
+	stepBase            = 10 * time.Millisecond
+	stepPerRequest      = 500 * time.Microsecond
+	meanTokens          = 100
+	requestTimeout      = 30 * time.Second
 )
 
 func baseScenario() scenario {
-	return scenario{engines: 12, slots: 8, batch: 16, adapters: 3000, zipf: 1, length: 4 * time.Minute}
+	return scenario{engines: 12, slots: 8, batchLimit: 16, adapters: 3000, zipf: 1, length: 4 * time.Minute}
 }
 
 // arrival is one request of a scenario.
@@ -59,7 +61,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// arrivals makes a scenario's requests from a seed.
+// arrivals generates the requests of a scenario from a seed.
 func (s scenario) arrivals(seed uint64) []arrival {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	weights := make([]float64, s.adapters)
@@ -82,14 +84,14 @@
 			pick = s.adapters - 1 - rng.IntN(3)
 		}
 		a := arrival{at: epoch.Add(t), adapter: pick, tokens: 1 + rng.ExpFloat64()*meanTokens}
-		if rng.Float64() < s.high {
+		if rng.Float64() < s.highPriorityShare {
 			a.rank = 2
 		}
 		out = append(out, a)
 	}
 }
 
-// event is something due in virtual time.
+// event is a function to call at a virtual time.
 type event struct {
 	at  time.Time
 	seq int
@@ -114,7 +116,7 @@
 	return e
 }
 
-// clock runs events in order of time.
+// clock is a virtual clock that runs events in order of time.
 type clock struct {
 	now   time.Time
 	seq   int
@@ -138,50 +140,50 @@
 // job is a request in the replay.
 type job struct {
 	arrival
-	handle  uint64
-	started time.Time
-	left    float64
-	waited  bool
-	stall   time.Duration
+	handle        uint64
+	started       time.Time
+	tokensLeft    float64
+	waitedForLoad bool
+	stall         time.Duration
 }
 
-// batcher is an engine's continuous batching: every running request gets a token
-// each step, and a step grows with the batch.
+// batcher models the continuous batching of an engine: every running request gets one
+// token per step, and the duration of a step grows with the batch size.
 type batcher struct {
-	clock   *clock
-	running map[uint64]*job
-	since   time.Time
-	version int
-	ended   func(*job)
-	// used and open are the time integrals of running requests and of the
-	// batch limit while any ran.
-	used, open float64
-	batch      int
+	clock       *clock
+	running     map[uint64]*job
+	lastAdvance time.Time
+	version     int
+	onFinished  func(*job)
+	// used and capacity are the time integrals of the number of running requests and of
+	// the batch limit, over the time in which any request ran.
+	used, capacity float64
+	batchLimit     int
 }
 
 func (b *batcher) advance() {
-	dt := b.clock.now.Sub(b.since).Seconds()
-	b.since = b.clock.now
+	dt := b.clock.now.Sub(b.lastAdvance).Seconds()
+	b.lastAdvance = b.clock.now
 	n := len(b.running)
 	if n == 0 {
 		return
 	}
 	b.used += dt * float64(n)
-	b.open += dt * float64(b.batch)
+	b.capacity += dt * float64(b.batchLimit)
 	tokens := dt / b.step().Seconds()
 	for _, j := range b.running {
-		j.left -= tokens
+		j.tokensLeft -= tokens
 	}
 }
 
 func (b *batcher) step() time.Duration {
-	return stepBase + time.Duration(len(b.running))*stepEach
+	return stepBase + time.Duration(len(b.running))*stepPerRequest
 }
 
 func (b *batcher) add(j *job) {
 	b.advance()
 	j.started = b.clock.now
-	j.left = j.tokens
+	j.tokensLeft = j.tokens
 	b.running[j.handle] = j
 	b.schedule()
 }
@@ -189,14 +191,14 @@
 func (b *batcher) schedule() {
 	b.version++
 	version := b.version
-	first := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, j := range b.running {
-		first = min(first, j.left)
+		shortest = min(shortest, j.tokensLeft)
 	}
-	if math.IsInf(first, 1) {
+	if math.IsInf(shortest, 1) {
 		return
 	}
-	wait := time.Duration(max(first, 0) * float64(b.step()))
+	wait := time.Duration(max(shortest, 0) * float64(b.step()))
 	b.clock.after(wait+time.Microsecond, func() {
 		if version == b.version {
 			b.finish()
@@ -208,7 +210,7 @@
 	b.advance()
 	var done []*job
 	for h, j := range b.running {
-		if j.left <= 1e-6 {
+		if j.tokensLeft <= 1e-6 {
 			done = append(done, j)
 			delete(b.running, h)
 		}
@@ -216,107 +218,108 @@
 	slices.SortFunc(done, func(x, y *job) int { return int(x.handle) - int(y.handle) })
 	b.schedule()
 	for _, j := range done {
-		b.ended(j)
+		b.onFinished(j)
 	}
 }
 
-// store is the weight store: loads that run at once share its speed.
+// store models the weight store: concurrent loads share its bandwidth.
 type store struct {
-	clock   *clock
-	rng     *rand.Rand
-	fail    float64
-	current map[int]*fetch
-	next    int
-	since   time.Time
-	version int
-	loads   int
+	clock       *clock
+	rng         *rand.Rand
+	failureRate float64
+	active      map[int]*fetch
+	next        int
+	lastAdvance time.Time
+	version     int
+	loads       int
 }
 
 type fetch struct {
-	left float64
-	done func(ok bool)
+	secondsLeft float64
+	done        func(ok bool)
 }
 
 func (s *store) fetch(done func(ok bool)) {
 	s.advance()
 	s.next++
 	s.loads++
-	s.current[s.next] = &fetch{left: loadAlone.Seconds(), done: done}
+	s.active[s.next] = &fetch{secondsLeft: uncontendedLoadTime.Seconds(), done: done}
 	s.schedule()
 }
 
 func (s *store) advance() {
-	dt := s.clock.now.Sub(s.since).Seconds()
-	s.since = s.clock.now
-	for _, f := range s.current {
-		f.left -= dt / float64(len(s.current))
+	dt := s.clock.now.Sub(s.lastAdvance).Seconds()
+	s.lastAdvance = s.clock.now
+	for _, f := range s.active {
+		f.secondsLeft -= dt / float64(len(s.active))
 	}
 }
 
 func (s *store) schedule() {
 	s.version++
 	version := s.version
-	first := math.Inf(1)
-	for _, f := range s.current {
-		first = min(first, f.left)
+	shortest := math.Inf(1)
+	for _, f := range s.active {
+		shortest = min(shortest, f.secondsLeft)
 	}
-	if math.IsInf(first, 1) {
+	if math.IsInf(shortest, 1) {
 		return
 	}
-	wait := time.Duration(max(first, 0) * float64(len(s.current)) * float64(time.Second))
+	wait := time.Duration(max(shortest, 0) * float64(len(s.active)) * float64(time.Second))
 	s.clock.after(wait+time.Microsecond, func() {
 		if version != s.version {
 			return
 		}
 		s.advance()
 		for id := 1; id <= s.next; id++ {
-			if f := s.current[id]; f != nil && f.left <= 1e-5 {
-				delete(s.current, id)
-				defer f.done(s.rng.Float64() >= s.fail)
+			if f := s.active[id]; f != nil && f.secondsLeft <= 1e-5 {
+				delete(s.active, id)
+				defer f.done(s.rng.Float64() >= s.failureRate)
 			}
 		}
 		s.schedule()
 	})
 }
 
-// figures are what a replay reports.
-type figures struct {
+// replayResult holds the measurements of a replay.
+type replayResult struct {
 	stalls []float64
-	// arrived is when each served request came, for figures of a part of the
-	// run.
-	arrived   []time.Duration
-	firsts    []float64
-	highs     []float64
-	served    int
-	refused   map[string]int
-	waited    int
-	loads     int
-	batchUsed float64
-	batchOpen float64
-	requests  int
-}
-
-func (f *figures) note(now time.Time, j *job) {
-	f.served++
+	// arrivalTimes are the arrival times of the served requests since the start of the
+	// replay, in the order of stalls.
+	arrivalTimes      []time.Duration
+	ttfts             []float64
+	highPriorityTTFTs []float64
+	served            int
+	refused           map[string]int
+	waitedForLoad     int
+	loads             int
+	batchUsed         float64
+	batchCapacity     float64
+	requests          int
+}
+
+func (r *replayResult) record(now time.Time, j *job) {
+	r.served++
 	stall := j.stall.Seconds()
-	if j.waited {
-		f.waited++
+	if j.waitedForLoad {
+		r.waitedForLoad++
 	}
-	f.stalls = append(f.stalls, stall)
-	f.arrived = append(f.arrived, j.at.Sub(epoch))
-	first := j.started.Sub(j.at).Seconds()
-	f.firsts = append(f.firsts, first)
+	r.stalls = append(r.stalls, stall)
+	r.arrivalTimes = append(r.arrivalTimes, j.at.Sub(epoch))
+	ttft := j.started.Sub(j.at).Seconds()
+	r.ttfts = append(r.ttfts, ttft)
 	if j.rank > 0 {
-		f.highs = append(f.highs, first)
+		r.highPriorityTTFTs = append(r.highPriorityTTFTs, ttft)
 	}
 }
 
-// between returns the stalls of requests that came in a part of the run.
-func (f *figures) between(from, to time.Duration) []float64 {
+// stallsBetween returns the stalls of the requests that arrived in [from, to) of the
+// replay.
+func (r *replayResult) stallsBetween(from, to time.Duration) []float64 {
 	var out []float64
-	for i, at := range f.arrived {
+	for i, at := range r.arrivalTimes {
 		if at >= from && at < to {
-			out = append(out, f.stalls[i])
+			out = append(out, r.stalls[i])
 		}
 	}
 	return out
@@ -339,149 +342,149 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// system is one way of deciding, under replay.
+// system is a scheduling system under replay.
 type system interface {
 	submit(j *job)
 }
 
-// world holds what all systems share.
+// replay holds the state that all systems share.
 type replay struct {
 	scenario
-	clock clock
-	store *store
-	out   figures
+	clock  clock
+	store  *store
+	result replayResult
 }
 
 func newReplay(s scenario, seed uint64) *replay {
 	r := &replay{scenario: s}
 	r.clock.now = epoch
-	r.store = &store{clock: &r.clock, rng: rand.New(rand.NewPCG(seed, 5)), fail: s.failLoads, current: map[int]*fetch{}, since: epoch}
-	r.out.refused = map[string]int{}
+	r.store = &store{clock: &r.clock, rng: rand.New(rand.NewPCG(seed, 5)), failureRate: s.loadFailureRate, active: map[int]*fetch{}, lastAdvance: epoch}
+	r.result.refused = map[string]int{}
 	return r
 }
 
-func (r *replay) newBatcher(ended func(*job)) *batcher {
-	return &batcher{clock: &r.clock, running: map[uint64]*job{}, since: epoch, ended: ended, batch: r.batch}
+func (r *replay) newBatcher(onFinished func(*job)) *batcher {
+	return &batcher{clock: &r.clock, running: map[uint64]*job{}, lastAdvance: epoch, onFinished: onFinished, batchLimit: r.batchLimit}
 }
 
-// run feeds the arrivals to a system and returns its figures.
-func (r *replay) run(sys system, batchers []*batcher, seed uint64) figures {
+// run submits the arrivals to a system and returns the result.
+func (r *replay) run(sys system, batchers []*batcher, seed uint64) replayResult {
 	for i, a := range r.arrivals(seed) {
-		r.out.requests++
+		r.result.requests++
 		r.clock.after(a.at.Sub(r.clock.now), func() { sys.submit(&job{arrival: a, handle: uint64(i + 1)}) })
 	}
-	r.clock.run(epoch.Add(r.length + 2*patience))
+	r.clock.run(epoch.Add(r.length + 2*requestTimeout))
 	for _, b := range batchers {
 		b.advance()
-		r.out.batchUsed += b.used
-		r.out.batchOpen += b.open
+		r.result.batchUsed += b.used
+		r.result.batchCapacity += b.capacity
 	}
-	r.out.loads = r.store.loads
-	return r.out
+	r.result.loads = r.store.loads
+	return r.result
 }
 
-func (r *replay) refuse(cause string) { r.out.refused[cause]++ }
+func (r *replay) refuse(cause string) { r.result.refused[cause]++ }
 
-// ours is the daemon's parts: placement, a dispatcher for each engine, and the
-// giver of load turns.
-type ours struct {
+// daemonSystem is built of the parts that the daemon uses: placement, a dispatcher for
+// each engine, and the issuer of load permits.
+type daemonSystem struct {
 	*replay
-	pool    *placement.Pool
-	sched   *placement.Scheduler
-	board   *placement.LoadTracker
-	spread  *placement.Spread
-	giver   *loadpermit.Issuer
-	engines []*ourEngine
-	asks    map[uint64]*ourEngine
-	nextAsk uint64
-	byID    map[coord.TargetID]*ourEngine
-	// tune is the part of the dispatchers' settings that is weighed.
+	pool           *placement.Pool
+	scheduler      *placement.Scheduler
+	loadTracker    *placement.LoadTracker
+	spread         *placement.Spread
+	issuer         *loadpermit.Issuer
+	engines        []*daemonEngine
+	permitRequests map[uint64]*daemonEngine
+	lastPermitID   uint64
+	byID           map[coord.TargetID]*daemonEngine
+	// tune changes the dispatchers' settings that a benchmark compares.
 	tune func(*dispatch.Config)
 }
 
-type ourEngine struct {
-	id       coord.TargetID
-	sys      *ours
-	dispatch *dispatch.Dispatcher
-	batcher  *batcher
-	jobs     map[uint64]*job
-	turn     uint64
-	life     int
+type daemonEngine struct {
+	id          coord.TargetID
+	sys         *daemonSystem
+	dispatcher  *dispatch.Dispatcher
+	batcher     *batcher
+	jobs        map[uint64]*job
+	permitID    uint64
+	incarnation int
 }
 
-func newOurs(r *replay, tune func(*dispatch.Config)) *ours {
-	o := &ours{
-		replay: r, sched: placement.Default(), board: placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
+func newDaemonSystem(r *replay, tune func(*dispatch.Config)) *daemonSystem {
+	s := &daemonSystem{
+		replay: r, scheduler: placement.Default(), loadTracker: placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
 		spread: placement.NewSpread(placement.DefaultSpreadConfig()), tune: tune,
-		giver: loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, MaxHoldTime: 5 * time.Second}),
-		asks:  map[uint64]*ourEngine{}, byID: map[coord.TargetID]*ourEngine{},
+		issuer:         loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, MaxHoldTime: 5 * time.Second}),
+		permitRequests: map[uint64]*daemonEngine{}, byID: map[coord.TargetID]*daemonEngine{},
 	}
 	var targets []placement.Target
 	for i := range r.engines {
-		e := &ourEngine{id: coord.TargetID(fmt.Sprintf("engine-%d", i)), sys: o, jobs: map[uint64]*job{}}
-		e.batcher = r.newBatcher(e.ended)
+		e := &daemonEngine{id: coord.TargetID(fmt.Sprintf("engine-%d", i)), sys: s, jobs: map[uint64]*job{}}
+		e.batcher = r.newBatcher(e.requestFinished)
 		e.boot()
-		o.engines = append(o.engines, e)
-		o.byID[e.id] = e
-		targets = append(targets, placement.Target{ID: e.id, Base: "base", Zone: "hall", Batch: r.batch})
+		s.engines = append(s.engines, e)
+		s.byID[e.id] = e
+		targets = append(targets, placement.Target{ID: e.id, Base: "base", Zone: "hall", Batch: r.batchLimit})
 	}
-	o.pool = placement.NewMap(targets).Pool("base")
-	o.tick()
-	return o
+	s.pool = placement.NewMap(targets).Pool("base")
+	s.tick()
+	return s
 }
 
-func (e *ourEngine) boot() {
+func (e *daemonEngine) boot() {
 	cfg := dispatch.DefaultConfig()
 	cfg.Residency.Slots = e.sys.slots
-	cfg.Batch = e.sys.batch
+	cfg.Batch = e.sys.batchLimit
 	e.sys.tune(&cfg)
-	e.dispatch = dispatch.New(cfg)
-	e.life++
+	e.dispatcher = dispatch.New(cfg)
+	e.incarnation++
 }
 
-// tick is the owners' 100 ms tick.
-func (o *ours) tick() {
-	o.clock.after(100*time.Millisecond, func() {
-		o.board.ExpireStale(o.clock.now)
-		o.spread.Tick(o.clock.now)
-		for _, e := range o.engines {
-			e.act(e.dispatch.Tick(o.clock.now))
+// tick calls the Tick methods of all parts every 100 ms, as owners do.
+func (s *daemonSystem) tick() {
+	s.clock.after(100*time.Millisecond, func() {
+		s.loadTracker.ExpireStale(s.clock.now)
+		s.spread.Tick(s.clock.now)
+		for _, e := range s.engines {
+			e.execute(e.dispatcher.Tick(s.clock.now))
 		}
-		o.grant(o.giver.Tick(o.clock.now))
-		o.tick()
+		s.notifyGranted(s.issuer.Tick(s.clock.now))
+		s.tick()
 	})
 }
 
-func (o *ours) submit(j *job) {
+func (s *daemonSystem) submit(j *job) {
 	key := rendezvous.Hash(adapterOf(j.adapter).String())
-	q := placement.Query{Key: key, Zones: ^uint64(0), Spread: o.spread.Width(key), Now: o.clock.now}
-	choice := o.sched.Pick(o.pool, o.board, &q)
-	o.board.RecordSent(choice.Target)
-	e := o.byID[choice.Target]
+	q := placement.Query{Key: key, Zones: ^uint64(0), Spread: s.spread.Width(key), Now: s.clock.now}
+	choice := s.scheduler.Pick(s.pool, s.loadTracker, &q)
+	s.loadTracker.RecordSent(choice.Target)
+	e := s.byID[choice.Target]
 	e.jobs[j.handle] = j
-	j.waited = !e.dispatch.Slots().IsResident(adapterOf(j.adapter))
-	e.act(e.dispatch.Submit(o.clock.now, dispatch.Request{
-		Handle: j.handle, Adapter: adapterOf(j.adapter), Rank: j.rank, Deadline: j.at.Add(patience),
+	j.waitedForLoad = !e.dispatcher.Slots().IsResident(adapterOf(j.adapter))
+	e.execute(e.dispatcher.Submit(s.clock.now, dispatch.Request{
+		Handle: j.handle, Adapter: adapterOf(j.adapter), Rank: j.rank, Deadline: j.at.Add(requestTimeout),
 	}))
-	e.hint(key, adapterOf(j.adapter))
+	e.reportLoad(key, adapterOf(j.adapter))
 }
 
-// hint is what an answer tells the entry VM of the target's load.
-func (e *ourEngine) hint(key uint64, a coord.Adapter) {
+// reportLoad applies the load of the engine that a response reports to the entry VM.
+func (e *daemonEngine) reportLoad(key uint64, a coord.Adapter) {
 	now := e.sys.clock.now
-	e.sys.board.ObserveLoad(now, e.id, e.dispatch.Running(), e.dispatch.Queued())
-	e.sys.spread.ObserveLoad(now, key, e.dispatch.AdapterRequests(a), e.sys.batch)
+	e.sys.loadTracker.ObserveLoad(now, e.id, e.dispatcher.Running(), e.dispatcher.Queued())
+	e.sys.spread.ObserveLoad(now, key, e.dispatcher.AdapterRequests(a), e.sys.batchLimit)
 }
 
 func adapterOf(i int) coord.Adapter { return coord.Adapter{Name: fmt.Sprintf("a%d", i), Version: "1"} }
 
-func (e *ourEngine) act(acts []dispatch.Action) {
+func (e *daemonEngine) execute(acts []dispatch.Action) {
 	now := e.sys.clock.now
 	for _, a := range acts {
 		switch a.Kind {
 		case dispatch.ActStart:
 			j := e.jobs[a.Handle]
-			if j.waited {
+			if j.waitedForLoad {
 				j.stall = now.Sub(j.at)
 			}
 			e.batcher.add(j)
@@ -489,20 +492,20 @@
 			delete(e.jobs, a.Handle)
 			e.sys.refuse(a.Cause.String())
 		case dispatch.ActRequestPermit:
-			e.sys.nextAsk++
-			e.turn = e.sys.nextAsk
-			e.sys.asks[e.turn] = e
-			e.sys.grant(e.sys.giver.Request(now, loadpermit.Request{ID: e.turn, Priority: a.Priority}))
+			e.sys.lastPermitID++
+			e.permitID = e.sys.lastPermitID
+			e.sys.permitRequests[e.permitID] = e
+			e.sys.notifyGranted(e.sys.issuer.Request(now, loadpermit.Request{ID: e.permitID, Priority: a.Priority}))
 		case dispatch.ActRaisePermit:
-			e.sys.giver.RaisePriority(e.turn, a.Priority)
+			e.sys.issuer.RaisePriority(e.permitID, a.Priority)
 		case dispatch.ActReturnPermit:
-			e.sys.grant(e.sys.giver.Cancel(now, e.turn))
+			e.sys.notifyGranted(e.sys.issuer.Cancel(now, e.permitID))
 		case dispatch.ActUnload:
-			e.later(func() { e.act(e.dispatch.Unloaded(e.sys.clock.now, a.Name, true)) })
+			e.afterRoundTrip(func() { e.execute(e.dispatcher.Unloaded(e.sys.clock.now, a.Name, true)) })
 		case dispatch.ActLoad:
-			life := e.life
+			incarnation := e.incarnation
 			e.sys.store.fetch(func(ok bool) {
-				if life == e.life {
+				if incarnation == e.incarnation {
 					e.loaded(a.Adapter, ok)
 				}
 			})
@@ -510,35 +513,35 @@
 	}
 }
 
-// later is one exchange with the engine.
-func (e *ourEngine) later(f func()) { e.sys.clock.after(2*time.Millisecond, f) }
+// afterRoundTrip calls f after the time of one round trip to the engine.
+func (e *daemonEngine) afterRoundTrip(f func()) { e.sys.clock.after(2*time.Millisecond, f) }
 
-func (e *ourEngine) loaded(a coord.Adapter, ok bool) {
+func (e *daemonEngine) loaded(a coord.Adapter, ok bool) {
 	if ok {
-		e.act(e.dispatch.Loaded(e.sys.clock.now, a))
+		e.execute(e.dispatcher.Loaded(e.sys.clock.now, a))
 	} else {
-		e.act(e.dispatch.LoadFailed(e.sys.clock.now, a))
+		e.execute(e.dispatcher.LoadFailed(e.sys.clock.now, a))
 	}
 }
 
-// grant wakes the engines whose turn has come.
-func (o *ours) grant(ids []uint64) {
+// notifyGranted delivers granted permits to their engines and schedules the next grant.
+func (s *daemonSystem) notifyGranted(ids []uint64) {
 	for _, id := range ids {
-		e := o.asks[id]
-		delete(o.asks, id)
+		e := s.permitRequests[id]
+		delete(s.permitRequests, id)
 		if e == nil {
 			continue
 		}
-		o.clock.after(2*time.Millisecond, func() { e.act(e.dispatch.PermitGranted(o.clock.now)) })
+		s.clock.after(2*time.Millisecond, func() { e.execute(e.dispatcher.PermitGranted(s.clock.now)) })
 	}
-	if next := o.giver.NextGrant(); len(ids) > 0 && next.After(o.clock.now) {
-		o.clock.after(next.Sub(o.clock.now), func() { o.grant(o.giver.Tick(o.clock.now)) })
+	if next := s.issuer.NextGrant(); len(ids) > 0 && next.After(s.clock.now) {
+		s.clock.after(next.Sub(s.clock.now), func() { s.notifyGranted(s.issuer.Tick(s.clock.now)) })
 	}
 }
 
-func (e *ourEngine) ended(j *job) {
+func (e *daemonEngine) requestFinished(j *job) {
 	delete(e.jobs, j.handle)
-	e.sys.out.note(e.sys.clock.now, j)
-	e.act(e.dispatch.Finished(e.sys.clock.now, j.handle))
-	e.hint(rendezvous.Hash(adapterOf(j.adapter).String()), adapterOf(j.adapter))
+	e.sys.result.record(e.sys.clock.now, j)
+	e.execute(e.dispatcher.Finished(e.sys.clock.now, j.handle))
+	e.reportLoad(rendezvous.Hash(adapterOf(j.adapter).String()), adapterOf(j.adapter))
 }
