--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,10 +1,10 @@
-// Package events is the log of an edge VM: one function for each event, so that
-// names and fields are the same wherever it is written. docs/OPERATIONS.md lists
-// them. vm.go has the events of the VM itself, events.go the others.
+// Package events is the structured log of an edge VM. It has one function for each event, so
+// that every place that logs an event uses the same name and fields. docs/OPERATIONS.md lists
+// the events. vm.go has the events of the VM itself, events.go all others.
 //
-// Failures, refusals and changes of what the process believes are always written.
-// Requests that went well are written as far as a budget allows; how many were
-// left out is said. Writing never waits for the reader of the log.
+// Failures, refusals and state changes are always logged. Successful requests are logged within
+// a rate budget, and the number of omitted lines is logged too. Logging never blocks on the
+// reader of the log.
 package events
 
 import (
@@ -24,108 +24,113 @@
 	"github.com/junctionfold/junctionfold/internal/logging"
 )
 
-// Budget of lines on requests that went well, each second, with a burst. A line
-// takes about 10 us of processor time.
+// Token bucket for lines about successful requests, in lines per second. A line costs about
+// 10 us of CPU time.
 const (
-	ordinaryPerSecond = 50
-	ordinaryBurst     = 100
-	// omittedEvery is the least time between two lines that say how many were
-	// left out.
-	omittedEvery = 5 * time.Second
+	successLinesPerSecond = 50
+	successLinesBurst     = 100
+	// omittedReportInterval is the minimum time between two log_lines_omitted events.
+	omittedReportInterval = 5 * time.Second
 )
 
-// Log writes events. The zero value is not usable; see New and Discard.
+// Log writes events. Its zero value is not usable; create it with New or Discard.
 type Log struct {
 	out   log.Interface
 	queue *queue
 
-	mu       sync.Mutex
-	budget   *rate.Limiter
-	omitted  int
-	reported time.Time
+	mu                sync.Mutex
+	successBudget     *rate.Limiter
+	omitted           int
+	omittedReportedAt time.Time
 }
 
-// New returns a Log that writes lines of key=value pairs to w, with the VM's id
-// on each.
+// New returns a Log that writes events to w as lines of key=value pairs. Each line has the
+// VM's id.
 func New(w io.Writer, level, vm string) *Log {
 	q := newQueue(w)
-	return &Log{out: logging.New(q, level, vm), queue: q, budget: rate.NewLimiter(ordinaryPerSecond, ordinaryBurst)}
+	return &Log{out: logging.New(q, level, vm), queue: q, successBudget: rate.NewLimiter(successLinesPerSecond, successLinesBurst)}
 }
 
 // Discard returns a Log that writes nothing.
 func Discard() *Log { return New(io.Discard, "error", "") }
 
-// Close writes what is queued. Nothing may be logged after it.
+// Close writes the queued lines. No event may be logged afterwards.
 func (l *Log) Close() { l.queue.close() }
 
 func (l *Log) info(event string, f log.Fields)  { l.out.WithFields(f).Info(event) }
 func (l *Log) warn(event string, f log.Fields)  { l.out.WithFields(f).Warn(event) }
 func (l *Log) debug(event string, f log.Fields) { l.out.WithFields(f).Debug(event) }
 
-// ordinary reports whether a line on something that went well may be written now.
-func (l *Log) ordinary(now time.Time) bool {
+// allowSuccessLine reports whether the budget allows a line about a successful request at now.
+// It counts the omitted lines and logs their number.
+func (l *Log) allowSuccessLine(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	allowed := l.budget.AllowN(now, 1)
+	allowed := l.successBudget.AllowN(now, 1)
 	if !allowed {
 		l.omitted++
 	}
-	if l.omitted > 0 && now.Sub(l.reported) >= omittedEvery {
+	if l.omitted > 0 && now.Sub(l.omittedReportedAt) >= omittedReportInterval {
 		l.info("log_lines_omitted", log.Fields{"count": l.omitted})
-		l.omitted, l.reported = 0, now
+		l.omitted, l.omittedReportedAt = 0, now
 	}
 	return allowed
 }
 
-// Request is the end of a caller's request.
+// Request describes a finished request of a caller.
 type Request struct {
 	ID, Route string
-	// Outcome is ok, refused, denied, failed, cut or abandoned; Reason is one
-	// word for all but ok.
+	// Outcome is ok, refused, denied, failed, cut or abandoned. Reason is a single word,
+	// set for every outcome but ok.
 	Outcome, Reason string
 	Status          int
-	// ConfigVersion and FeedAge are of the configuration that decided the route.
+	// ConfigVersion and FeedAge are the version and the age of the configuration that
+	// determined the route.
 	ConfigVersion uint64
 	FeedAge       time.Duration
-	// ConfirmedAge bounds the age of the copy by which its key was judged; Key is the beginning of
-	// the key's digest, and Team whose it is.
+	// ConfirmedAge is an upper bound on the age of the store copy that the API key was checked
+	// against. Key is a prefix of the key's digest, and Team the team that owns the key.
 	ConfirmedAge time.Duration
 	Key          []byte
 	Team         string
-	// Attempts counts attempts; Target is the last one's, chosen by DecidedBy.
+	// Attempts is the number of attempts. Target is the target of the last attempt, and
+	// DecidedBy the VM that chose it.
 	Attempts          int
 	Target, DecidedBy string
 	Adapter           string
-	// Took is the whole time, Admit that for verdicts of the scheduler, First
-	// that from sending to the first event.
+	// Took is the total duration, AdmitTime the time spent on decisions of the scheduler, and
+	// FirstEventTime the time from sending to the first event of the response.
 	Took, AdmitTime, FirstEventTime time.Duration
-	// Sent is what the last attempt was sent on.
+	// Sent describes the state on which the last attempt was placed and sent.
 	Sent SendInfo
 	Err  error
 }
 
-// StoreCopy is a copy of the store by which a VM decided.
+// StoreCopy identifies the copy of the store on which a VM based a decision.
 type StoreCopy struct {
 	Revision fleet.Revision
-	// Age is the time since it was known to be current.
+	// Age is the time since the copy was last known to be current.
 	Age time.Duration
 }
 
-// SendInfo tells what was known when an attempt was placed and when it was sent. A request
-// that reaches a target after its word that it leaves is explained by one of them: Placed
-// older than that word, a long VerdictLag, a long Connect, or else bytes that a link held.
+// SendInfo describes the state that was known when an attempt was placed and when it was sent.
+// It explains why a request reached a target after the target announced that it is leaving:
+// PlacementCopy was older than the announcement, DecisionDelay was long, or Connect was long.
+// If none of these applies, the network delayed the request's bytes.
 type SendInfo struct {
-	// PlacementCopy is the copy of the VM that chose the target.
+	// PlacementCopy is the store copy of the VM that chose the target.
 	PlacementCopy StoreCopy
-	// DecisionDelay is the time that question and verdict were under way.
+	// DecisionDelay is the time that the request to the scheduler and its decision spent on
+	// the network.
 	DecisionDelay time.Duration
-	// Connect is the time until a connection to the target was at hand.
+	// Connect is the time until a connection to the target was available.
 	Connect time.Duration
-	// SenderCopy is the copy of the entry VM then, and TargetState what that says of the
-	// target: ready, draining, gone or unknown.
+	// SenderCopy is the store copy of the entry VM at the time of sending. TargetState is the
+	// target's state in that copy: ready, draining, gone or unknown.
 	SenderCopy  StoreCopy
 	TargetState string
-	// RateLimit is the target's limit by which it was placed, in requests a second; 0: none.
+	// RateLimit is the target's rate limit that applied to the placement, in requests per
+	// second; 0 means none.
 	RateLimit float64
 }
 
@@ -137,9 +142,10 @@
 	return f
 }
 
-// RequestEnded is the one line that closes each request.
+// RequestEnded records the end of a request, once per request. Successful requests are subject
+// to the line budget.
 func (l *Log) RequestEnded(now time.Time, r Request) {
-	if r.Outcome == "ok" && !l.ordinary(now) {
+	if r.Outcome == "ok" && !l.allowSuccessLine(now) {
 		return
 	}
 	l.info("request_ended", r.Sent.fields(log.Fields{
@@ -148,11 +154,11 @@
 		"team": r.Team, "key": hex.EncodeToString(r.Key), "proven_ms": r.ConfirmedAge.Milliseconds(),
 		"sends": r.Attempts, "target": r.Target, "decided_by": r.DecidedBy, "adapter": r.Adapter,
 		"took_ms": r.Took.Milliseconds(), "admit_ms": r.AdmitTime.Milliseconds(), "first_ms": r.FirstEventTime.Milliseconds(),
-		"error": text(r.Err),
+		"error": errorText(r.Err),
 	}))
 }
 
-// Attempt is an attempt that gave no answer to return.
+// Attempt describes an attempt that produced no response to return to the caller.
 type Attempt struct {
 	ID, Target, DecidedBy, Adapter string
 	// Class is busy, misplaced, unreachable, withdrawn, failed, hung or abandoned.
@@ -163,40 +169,45 @@
 	Err    error
 }
 
-// AttemptFailed is written for each attempt after which the request may be tried
-// elsewhere.
+// AttemptFailed records a failed attempt after which the request may be retried on another
+// target.
 func (l *Log) AttemptFailed(a Attempt) {
 	l.info("attempt_failed", a.Sent.fields(log.Fields{
 		"id": a.ID, "target": a.Target, "decided_by": a.DecidedBy, "adapter": a.Adapter,
-		"class": a.Class, "status": a.Status, "took_ms": a.Took.Milliseconds(), "error": text(a.Err),
+		"class": a.Class, "status": a.Status, "took_ms": a.Took.Milliseconds(), "error": errorText(a.Err),
 	}))
 }
 
-// RetryDenied says that the retry budget of a service is empty.
+// RetryDenied records that a request was not retried because the retry budget of its service
+// is empty. left is the remaining budget.
 func (l *Log) RetryDenied(id, service string, left float64) {
 	l.info("retry_denied", log.Fields{"id": id, "service": service, "budget_left": left})
 }
 
-// SchedulerUnresponsive says that a VM did not give a verdict and this one decided alone.
+// SchedulerUnresponsive records that the scheduler on the VM peer returned no decision for a
+// request, so that this VM decides by itself or queries the next scheduler.
 func (l *Log) SchedulerUnresponsive(id, peer string, err error) {
-	l.info("scheduler_silent", log.Fields{"id": id, "peer": peer, "error": text(err)})
+	l.info("scheduler_silent", log.Fields{"id": id, "peer": peer, "error": errorText(err)})
 }
 
-// SchedulerRefused is written where a scheduler refuses a request.
+// SchedulerRefused records, on the VM that runs the scheduler, that a request was refused. peer
+// and ticket identify the request.
 func (l *Log) SchedulerRefused(peer string, ticket uint64, service, reason string, waiting, loads, maxLoads int) {
 	l.info("verdict_refused", log.Fields{
 		"peer": peer, "ticket": ticket, "service": service, "reason": reason, "waiting": waiting, "loads": loads, "max_loads": maxLoads,
 	})
 }
 
-// ContentSuspected says under which content targets ended, and for how long it is held: 0 if
-// one request of it may run at a time.
-func (l *Log) ContentSuspected(content string, targets []string, held time.Duration) {
-	l.warn("content_suspected", log.Fields{"content": content, "targets": strings.Join(targets, ","), "held_ms": held.Milliseconds()})
+// ContentSuspected records that targets terminated while they ran requests with this content,
+// and for how long such requests are blocked. blockedFor is 0 if one request with this content
+// may run at a time.
+func (l *Log) ContentSuspected(content string, targets []string, blockedFor time.Duration) {
+	l.warn("content_suspected", log.Fields{"content": content, "targets": strings.Join(targets, ","), "held_ms": blockedFor.Milliseconds()})
 }
 
-// QueueRefused is written where the line of a plain service refuses a request: how many wait
-// and run, how many a target gets at once, and how long a call takes.
+// QueueRefused records, on the VM that runs the queue of a plain service, that the queue refused
+// a request. The statistics give the waiting and running requests, the concurrency limit of all
+// targets together, and the duration of a call at that limit.
 func (l *Log) QueueRefused(peer string, ticket uint64, service, reason string, s servicequeue.Stats) {
 	l.info("line_refused", log.Fields{
 		"peer": peer, "ticket": ticket, "service": service, "reason": reason,
@@ -204,13 +215,14 @@
 	})
 }
 
-// Order is an order to an engine with its answer.
+// Order describes an order to an engine and its result.
 type Order struct {
 	// Kind is load or unload.
 	Kind, Target, Adapter string
 	Version               int64
 	FencingToken          uint64
-	// ExpectedOrders is the count of orders that it named; negative: none.
+	// ExpectedOrders is the order count of the engine that the order required; negative if it
+	// required none.
 	ExpectedOrders int64
 	Result         string
 	Took           time.Duration
@@ -218,54 +230,56 @@
 	Basis          scheduler.Basis
 }
 
-// OrderAnswered is written for each order, also where it went well: which place of an engine
-// was counted wrongly is found from all of its orders. There are some 75 a second at most.
+// OrderAnswered records the result of an order. It is written for successful orders too, since
+// finding the adapter slot of an engine that was counted wrongly requires all of its orders.
+// There are at most about 75 orders per second.
 func (l *Log) OrderAnswered(o Order) {
 	l.info("order_answered", log.Fields{
 		"order": o.Kind, "target": o.Target, "adapter": o.Adapter, "version": o.Version,
-		"fence": o.FencingToken, "expect": o.ExpectedOrders, "result": o.Result, "took_ms": o.Took.Milliseconds(), "error": text(o.Err),
+		"fence": o.FencingToken, "expect": o.ExpectedOrders, "result": o.Result, "took_ms": o.Took.Milliseconds(), "error": errorText(o.Err),
 		"taken": o.Basis.Occupied, "slots": o.Basis.Slots, "in_transit": o.Basis.InTransit, "unproven": o.Basis.Unconfirmed,
 		"report_age_ms": o.Basis.ReportAge.Milliseconds(), "kept": o.Basis.Cached, "proven": o.Basis.Confirmed,
 	})
 }
 
-// ReportFailed says that an engine's report could not be read.
+// ReportFailed records that an engine's report could not be read.
 func (l *Log) ReportFailed(target string, err error) {
-	l.info("report_failed", log.Fields{"target": target, "error": text(err)})
+	l.info("report_failed", log.Fields{"target": target, "error": errorText(err)})
 }
 
-// TargetChanged says that a target was seen, changed its state, or is gone.
+// TargetChanged records that a target appeared, changed its state, or is gone.
 func (l *Log) TargetChanged(target, service, was, is string, revision fleet.Revision) {
 	l.info("target_changed", log.Fields{
 		"target": target, "service": service, "was": was, "is": is, "revision": revision,
 	})
 }
 
-// TargetNotice says what a target said of itself beside an answer: that it leaves, or for how long it
-// wants no requests from this VM.
-func (l *Log) TargetNotice(target string, leaving bool, rest time.Duration) {
-	l.info("target_said", log.Fields{"target": target, "leaving": leaving, "rest_ms": rest.Milliseconds()})
+// TargetNotice records a notice that a target attached to a response: that the target is
+// leaving, or for how long it requests backoff from this VM.
+func (l *Log) TargetNotice(target string, leaving bool, backoff time.Duration) {
+	l.info("target_said", log.Fields{"target": target, "leaving": leaving, "rest_ms": backoff.Milliseconds()})
 }
 
-// RateLimitAnnounced says that a target named a limit of its requests a second, or another one than before.
+// RateLimitAnnounced records that a target announced a new or changed rate limit, in requests
+// per second.
 func (l *Log) RateLimitAnnounced(target string, perSecond float64) {
 	l.info("rate_limit_named", log.Fields{"target": target, "per_second": perSecond})
 }
 
-// RateLimitEnded says that a target names no limit any more.
+// RateLimitEnded records that a target no longer announces a rate limit.
 func (l *Log) RateLimitEnded(target string) {
 	l.info("rate_limit_ended", log.Fields{"target": target})
 }
 
-// ConfigAdopted says that a configuration is in force here.
+// ConfigAdopted records that a configuration version took effect on this VM.
 func (l *Log) ConfigAdopted(was, is uint64, routes, services int, revision fleet.Revision) {
 	l.info("config_adopted", log.Fields{
 		"was": was, "is": is, "routes": routes, "services": services, "revision": revision,
 	})
 }
 
-// TeamChanged is the audit trail of teams: what a version of the configuration says of one
-// whose keys or quota changed. Keys are named by the first bytes of their digests.
+// TeamChanged is the audit trail of teams. It records the priority, keys and quota of a team
+// that a configuration version changed. Keys are identified by the first bytes of their digests.
 func (l *Log) TeamChanged(config uint64, team string, priority, keys int, added, removed []string, perSecond, burst float64) {
 	l.info("team_changed", log.Fields{
 		"config": config, "team": team, "priority": priority, "keys": keys,
@@ -273,76 +287,82 @@
 	})
 }
 
-// StoreItemRejected says that an item of the store could not be read, or a part of it: once for
-// each key and reason in a row.
+// StoreItemRejected records that an item of the store, or a part of it, could not be decoded.
+// Consecutive occurrences with the same key and reason are recorded once.
 func (l *Log) StoreItemRejected(key string, revision fleet.Revision, err error) {
-	l.warn("store_item_refused", log.Fields{"key": key, "revision": revision, "error": text(err)})
+	l.warn("store_item_refused", log.Fields{"key": key, "revision": revision, "error": errorText(err)})
 }
 
-// StoreLost says that the store failed to answer; StoreRegained that it does again.
+// StoreLost records that the store stopped responding. See StoreRegained.
 func (l *Log) StoreLost(err error, revision fleet.Revision) {
-	l.warn("store_lost", log.Fields{"error": text(err), "revision": revision})
+	l.warn("store_lost", log.Fields{"error": errorText(err), "revision": revision})
 }
 
-// StoreRegained says that the store answers again.
+// StoreRegained records that the store responds again.
 func (l *Log) StoreRegained(revision fleet.Revision) {
 	l.info("store_regained", log.Fields{"revision": revision})
 }
 
-// StoreHistoryGone says that everything is read anew.
+// StoreHistoryGone records that the store cannot return the changes since revision, because they
+// were compacted or a new store epoch began, so that all items are listed again.
 func (l *Log) StoreHistoryGone(revision fleet.Revision) {
 	l.info("store_history_gone", log.Fields{"revision": revision})
 }
 
-// StoreRelisted says what a list of everything brought: the revisions of the copy before and of the list,
-// and how many items it has and changed here.
+// StoreRelisted records the result of a full list of the store: the revision of the previous
+// copy, the revision of the list, the number of listed items, and the number of items that
+// changed in this VM's copy.
 func (l *Log) StoreRelisted(was, listed fleet.Revision, items, changed int) {
 	l.info("store_relisted", log.Fields{"was": was, "listed": listed, "items": items, "changed": changed})
 }
 
-// StoreEpochBegan says that the store was restored from an older copy: the revision of the VM's copy before,
-// that of the first snapshot since, its items and how many differ.
+// StoreEpochBegan records that the store was restored from an older copy, which begins a new
+// store epoch: the revision of this VM's previous copy, the revision of the first snapshot of the
+// new epoch, the number of its items, and the number of items that differ.
 func (l *Log) StoreEpochBegan(was, is fleet.Revision, items, changed int) {
 	l.info("store_era_began", log.Fields{"was": was, "is": is, "items": items, "changed": changed})
 }
 
-// FeedGap says that changes that another VM has could not be had.
+// FeedGap records that store changes that another VM has could not be fetched from it.
 func (l *Log) FeedGap(peer string, revision fleet.Revision, err error) {
-	l.warn("feed_gap", log.Fields{"peer": peer, "revision": revision, "error": text(err)})
+	l.warn("feed_gap", log.Fields{"peer": peer, "revision": revision, "error": errorText(err)})
 }
 
-// PeerChanged says that another VM joined, changed its state, or was forgotten.
-func (l *Log) PeerChanged(peer, was, is string, silent time.Duration) {
-	l.info("peer_changed", log.Fields{"peer": peer, "was": was, "is": is, "silent_ms": silent.Milliseconds()})
+// PeerChanged records that another VM joined, changed its state, or was removed, and for how
+// long it has been unresponsive.
+func (l *Log) PeerChanged(peer, was, is string, unresponsive time.Duration) {
+	l.info("peer_changed", log.Fields{"peer": peer, "was": was, "is": is, "silent_ms": unresponsive.Milliseconds()})
 }
 
-// SchedulerMoved says that verdicts are asked of another VM.
+// SchedulerMoved records that decisions are now requested from another VM.
 func (l *Log) SchedulerMoved(was, is string) {
 	l.info("scheduler_moved", log.Fields{"was": was, "is": is})
 }
 
-// LeadershipChanged says how far this VM is towards giving orders.
+// LeadershipChanged records a change of the leadership state of this VM, the number of VMs it
+// counts, and whether they are a majority.
 func (l *Log) LeadershipChanged(was, is string, vms int, majority bool) {
 	l.info("duty_changed", log.Fields{"was": was, "is": is, "vms": vms, "majority": majority})
 }
 
-// LeadershipAcquired says under which number this VM orders.
-func (l *Log) LeadershipAcquired(fence uint64, revision fleet.Revision) {
-	l.info("duty_taken", log.Fields{"fence": fence, "revision": revision})
+// LeadershipAcquired records that this VM became the leader, with the fencing token of its
+// orders.
+func (l *Log) LeadershipAcquired(fencingToken uint64, revision fleet.Revision) {
+	l.info("duty_taken", log.Fields{"fence": fencingToken, "revision": revision})
 }
 
-// LeadershipNotAcquired says why it does not.
+// LeadershipNotAcquired records why this VM failed to become the leader.
 func (l *Log) LeadershipNotAcquired(err error) {
-	l.warn("duty_not_taken", log.Fields{"error": text(err)})
+	l.warn("duty_not_taken", log.Fields{"error": errorText(err)})
 }
 
-// PeerCallFailed is a message to another VM that was lost; what it carried is sent
-// again in another form or given up by its sender.
+// PeerCallFailed records that a message to another VM was lost. Its sender sends the content
+// again in another form or abandons it.
 func (l *Log) PeerCallFailed(call, peer string, err error) {
-	l.debug("peer_call_failed", log.Fields{"call": call, "peer": peer, "error": text(err)})
+	l.debug("peer_call_failed", log.Fields{"call": call, "peer": peer, "error": errorText(err)})
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -22,7 +22,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func TestOneLineAnEvent(t *testing.T) {
+func TestEventIsWrittenAsOneLine(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, "info", "edge-1")
 	l.RequestEnded(start, Request{
@@ -33,73 +33,75 @@
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	assert.Equal(t, len(lines), 1, out.String())
 	for _, want := range []string{"message=request_ended", "vm=edge-1", "id=r1", "outcome=failed", "reason=target_failed", "took_ms=1500", "decided_by=edge-2"} {
-		assert.Assert(t, strings.Contains(lines[0], want), "%s lacks %s", lines[0], want)
+		assert.Assert(t, strings.Contains(lines[0], want), "%s does not contain %s", lines[0], want)
 	}
 }
 
-func TestFailuresAreAlwaysWritten(t *testing.T) {
+func TestSuccessBudgetDoesNotOmitFailuresAndOrders(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, "info", "vm")
-	for range 10 * ordinaryBurst {
+	for range 10 * successLinesBurst {
 		l.RequestEnded(start, Request{Outcome: "ok"})
 	}
 	l.RequestEnded(start, Request{Outcome: "refused"})
 	l.OrderAnswered(Order{Result: "begun", ExpectedOrders: -1, Basis: scheduler.Basis{Occupied: 4, Slots: 5, Unconfirmed: 2, ReportAge: 1500 * time.Millisecond}})
 	l.OrderAnswered(Order{Result: "fenced"})
-	l.RequestEnded(start.Add(omittedEvery), Request{Outcome: "ok"})
+	l.RequestEnded(start.Add(omittedReportInterval), Request{Outcome: "ok"})
 	l.Close()
-	text := out.String()
-	assert.Equal(t, strings.Count(text, "outcome=refused"), 1)
-	assert.Equal(t, strings.Count(text, "result=fenced"), 1)
-	assert.Equal(t, strings.Count(text, "result=begun"), 1, "orders count also when they went well")
+	output := out.String()
+	assert.Equal(t, strings.Count(output, "outcome=refused"), 1)
+	assert.Equal(t, strings.Count(output, "result=fenced"), 1)
+	assert.Equal(t, strings.Count(output, "result=begun"), 1, "successful orders are always written")
 	for _, want := range []string{"expect=-1", "taken=4", "slots=5", "unproven=2", "report_age_ms=1500", "proven=false"} {
-		assert.Assert(t, strings.Contains(text, want), "an order lacks %s", want)
+		assert.Assert(t, strings.Contains(output, want), "order event does not contain %s", want)
 	}
-	assert.Assert(t, strings.Count(text, "outcome=ok") <= ordinaryBurst+1)
-	assert.Assert(t, strings.Contains(text, "message=log_lines_omitted"), "what was left out is said")
+	assert.Assert(t, strings.Count(output, "outcome=ok") <= successLinesBurst+1)
+	assert.Assert(t, strings.Contains(output, "message=log_lines_omitted"), "the number of omitted lines is written")
 }
 
-// stalled is a reader that takes nothing until it is released.
-type stalled struct {
+// stalledWriter is an io.Writer that blocks until release is closed.
+type stalledWriter struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.Buffer.Write(p)
 }
 
-func TestStalledReaderBlocksNobody(t *testing.T) {
-	w := &stalled{release: make(chan struct{})}
-	l := New(w, "info", "vm")
-	for i := range 2 * queueLines {
+func TestStalledLogReaderDoesNotBlockLogging(t *testing.T) {
+	out := &stalledWriter{release: make(chan struct{})}
+	l := New(out, "info", "vm")
+	for i := range 2 * maxQueuedLines {
 		l.PeerChanged(fmt.Sprint(i), "live", "suspect", 0)
 	}
-	close(w.release)
+	close(out.release)
 	l.Close()
-	assert.Assert(t, strings.Contains(w.String(), "message=log_lines_dropped"))
-	assert.Assert(t, strings.Count(w.String(), "message=peer_changed") <= queueLines+1)
+	assert.Assert(t, strings.Contains(out.String(), "message=log_lines_dropped"))
+	assert.Assert(t, strings.Count(out.String(), "message=peer_changed") <= maxQueuedLines+1)
 }
 
-// written returns the names that the functions of this package write.
-func written(t *testing.T) []string {
+// loggedEvents returns the sorted names of the events that the source of this package logs.
+func loggedEvents(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
 	assert.NilError(t, err)
 	names := []string{"log_lines_dropped"} // written by the queue
-	for _, name := range files {
-		if !strings.HasSuffix(name, "_test.go") {
-			names = append(names, writtenIn(t, name)...)
+	for _, fileName := range files {
+		if !strings.HasSuffix(fileName, "_test.go") {
+			names = append(names, loggedEventsIn(t, fileName)...)
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-func writtenIn(t *testing.T, name string) (names []string) {
+// loggedEventsIn returns the names of the events that a source file logs, in the order of its
+// calls of info, warn and debug.
+func loggedEventsIn(t *testing.T, fileName string) (names []string) {
 	t.Helper()
-	file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
+	file, err := parser.ParseFile(token.NewFileSet(), fileName, nil, 0)
 	assert.NilError(t, err)
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
@@ -117,7 +119,7 @@
 
 func TestNamesAreCompleteAndExplained(t *testing.T) {
 	listed := slices.Sorted(slices.Values(Names()))
-	assert.DeepEqual(t, listed, written(t))
+	assert.DeepEqual(t, listed, loggedEvents(t))
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	assert.NilError(t, err)
 	for _, name := range listed {
--- a/internal/events/names.go
+++ b/internal/events/names.go
@@ -1,6 +1,6 @@
 package events
 
-// Names lists all events.
+// Names returns the names of all events.
 func Names() []string {
 	return []string{
 		"request_ended", "attempt_failed", "retry_denied", "scheduler_silent", "verdict_refused", "line_refused", "content_suspected",
--- a/internal/events/queue.go
+++ b/internal/events/queue.go
@@ -7,12 +7,12 @@
 	"sync/atomic"
 )
 
-// queueLines is how many lines may wait for a reader that stalls; about 300 bytes
-// each.
-const queueLines = 2048
+// maxQueuedLines bounds the lines that are queued while the reader of the log is stalled. A
+// line has about 300 bytes.
+const maxQueuedLines = 2048
 
-// queue hands lines to a writer of its own, so that a reader of the log that
-// stalls never blocks a request. What does not fit is dropped and counted.
+// queue passes lines to a dedicated writer goroutine, so that a stalled reader of the log never
+// blocks a request. Lines that exceed its capacity are dropped and counted.
 type queue struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -21,12 +21,12 @@
 }
 
 func newQueue(w io.Writer) *queue {
-	q := &queue{lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	q := &queue{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go q.run(w)
 	return q
 }
 
-// Write queues one line. It never fails and never waits.
+// Write queues one line. It never fails and never blocks.
 func (q *queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -36,8 +36,8 @@
 	return len(line), nil
 }
 
-// run writes lines until the queue is closed. A line that cannot be written has
-// nowhere else to go.
+// run writes lines to w until the queue is closed. Write errors are ignored because there is
+// no other place to report them.
 func (q *queue) run(w io.Writer) {
 	defer close(q.done)
 	for line := range q.lines {
@@ -48,7 +48,7 @@
 	}
 }
 
-// close writes what is queued and stops. Nothing may be written after it.
+// close writes the queued lines and stops the writer. Write must not be called afterwards.
 func (q *queue) close() {
 	q.closing.Do(func() { close(q.lines) })
 	<-q.done
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain reads the logs of edge VMs and puts together what happened to
-// one request, or why requests failed over a time.
+// Package explain reads the logs of edge VMs. It reconstructs the history of a single request,
+// and counts why requests failed.
 package explain
 
 import (
@@ -21,21 +21,20 @@
 	VM     string
 	Event  string
 	Fields map[string]string
-	// order of the fields as written
+	// keys are the keys of Fields in the order of the log line.
 	keys []string
 }
 
-// timestampKey begins each line; what stands before it is not the log's.
+// timestampKey starts each event. Text before it is not part of the log and is ignored.
 const timestampKey = "timestamp="
 
-// maxLine bounds one line, in bytes.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// Read returns the events of a log. Lines of other programs are passed over; how
-// many is returned too.
+// Read returns the events of a log and the number of skipped lines. Lines that are not events
+// are skipped.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Text())
 		if !ok {
@@ -47,6 +46,7 @@
 	return lines, skipped, errors.Wrap(scanner.Err(), "read log")
 }
 
+// parse decodes one line. It returns false if the line is not an event.
 func parse(text string) (Line, bool) {
 	at := strings.Index(text, timestampKey)
 	if at < 0 {
@@ -59,7 +59,7 @@
 			key, value := string(d.Key()), string(d.Value())
 			switch key {
 			case "timestamp":
-				l.At, _ = time.Parse(time.RFC3339Nano, value) // zero: sorted first
+				l.At, _ = time.Parse(time.RFC3339Nano, value) // an invalid time stays zero and sorts first
 			case "vm":
 				l.VM = value
 			case "message":
@@ -74,7 +74,7 @@
 	return l, d.Err() == nil && l.Event != ""
 }
 
-// String gives the line for a person.
+// String formats the line for display.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %-22s %-18s", l.At.Format("15:04:05.000"), l.VM, l.Event)
@@ -86,63 +86,67 @@
 	return b.String()
 }
 
-// Sort puts lines of several VMs in the order of time.
+// Sort sorts the lines of several VMs by time. The sort is stable.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// Explanation is what happened to one request.
+// Explanation describes the history of one request.
 type Explanation struct {
-	// RequestLines lines name the request.
+	// RequestLines are the events of the request itself.
 	RequestLines []Line
-	// RelatedLines are changes of what the VMs believed that may bear on it: of its
+	// RelatedLines are state changes that may have affected the request: changes of its
 	// targets, its adapter, the configuration, the store and the fleet.
 	RelatedLines []Line
-	// Conclusion is a sentence on what ended the request, and on what inputs.
+	// Conclusion is a sentence that states the outcome of the request and the inputs of the
+	// decision.
 	Conclusion string
 }
 
-// lookBack is how long before a request a change may still bear on it: the
-// longest bound of the deployments known, that on a new adapter version.
-const lookBack = 5 * time.Second
+// lookbackWindow is the time before the start of a request in which a state change may still
+// affect it. It is the longest propagation bound of the known deployments, the bound for a new
+// adapter version.
+const lookbackWindow = 5 * time.Second
 
-// ErrRequestNotFound is returned for a request that no line names.
-var ErrRequestNotFound = errors.New("no line names this request: it went well and was left out (see log_lines_omitted), reached no VM of these logs, or is older")
+// ErrRequestNotFound is returned by Explain if no line has the request's id.
+var ErrRequestNotFound = errors.New("no log line has this request id: the request succeeded and was omitted (see log_lines_omitted), reached none of the VMs whose logs were read, or is older than the logs")
 
-// Explain puts the story of a request together. Lines must be sorted.
+// Explain reconstructs the history of the request with the given id. The lines must be sorted.
+// It returns ErrRequestNotFound if no line has the id.
 func Explain(lines []Line, id string) (*Explanation, error) {
-	s := &Explanation{}
+	e := &Explanation{}
 	targets, adapters, vms := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Fields["id"] != id {
 			continue
 		}
-		s.RequestLines = append(s.RequestLines, l)
+		e.RequestLines = append(e.RequestLines, l)
 		targets[l.Fields["target"]] = true
 		adapters[l.Fields["adapter"]] = true
 		vms[l.VM] = true
 		vms[l.Fields["decided_by"]] = true
 	}
-	if len(s.RequestLines) == 0 {
+	if len(e.RequestLines) == 0 {
 		return nil, ErrRequestNotFound
 	}
 	delete(targets, "")
 	delete(adapters, "")
-	end := s.RequestLines[len(s.RequestLines)-1]
-	from := end.At.Add(-took(end) - lookBack)
+	end := e.RequestLines[len(e.RequestLines)-1]
+	from := end.At.Add(-requestDuration(end) - lookbackWindow)
 	for _, l := range lines {
 		if l.Fields["id"] != "" || l.At.Before(from) || l.At.After(end.At) {
 			continue
 		}
-		if bears(l, targets, adapters, vms) {
-			s.RelatedLines = append(s.RelatedLines, l)
+		if isRelated(l, targets, adapters, vms) {
+			e.RelatedLines = append(e.RelatedLines, l)
 		}
 	}
-	s.Conclusion = verdict(end)
-	return s, nil
+	e.Conclusion = conclusion(end)
+	return e, nil
 }
 
-func took(l Line) time.Duration {
+// requestDuration returns the duration of a request_ended event, or 0 if it has none.
+func requestDuration(l Line) time.Duration {
 	d, err := time.ParseDuration(l.Fields["took_ms"] + "ms")
 	if err != nil {
 		return 0
@@ -150,8 +154,9 @@
 	return d
 }
 
-// bears reports whether a change may have to do with a request.
-func bears(l Line, targets, adapters, vms map[string]bool) bool {
+// isRelated reports whether a state change may have affected a request with the given targets,
+// adapters and VMs.
+func isRelated(l Line, targets, adapters, vms map[string]bool) bool {
 	switch l.Event {
 	case "target_changed", "report_failed":
 		return targets[l.Fields["target"]] && vms[l.VM]
@@ -163,26 +168,27 @@
 	return vms[l.VM]
 }
 
-// verdict tells what ended a request.
-func verdict(l Line) string {
+// conclusion describes how a request ended. l is the last event of the request.
+func conclusion(l Line) string {
 	f := l.Fields
 	if l.Event != "request_ended" {
 		return fmt.Sprintf("no line closes it: %s stopped or was killed while it was open", l.VM)
 	}
-	where := "it was sent to no target"
+	attempt := "it was sent to no target"
 	if f["target"] != "" {
-		where = fmt.Sprintf("attempt %s was at %s, chosen by %s", f["sends"], f["target"], f["decided_by"])
+		attempt = fmt.Sprintf("attempt %s was at %s, chosen by %s", f["sends"], f["target"], f["decided_by"])
 	}
-	what := f["outcome"]
+	outcome := f["outcome"]
 	if f["reason"] != "" {
-		what += " (" + f["reason"] + ")"
+		outcome += " (" + f["reason"] + ")"
 	}
 	return fmt.Sprintf("%s ended it after %s ms: %s, status %s; %s; %s ms were for verdicts; configuration %s, known current %s ms before%s",
-		l.VM, f["took_ms"], what, f["status"], where, f["admit_ms"], f["config"], f["feed_age_ms"], whose(f))
+		l.VM, f["took_ms"], outcome, f["status"], attempt, f["admit_ms"], f["config"], f["feed_age_ms"], describeKey(f))
 }
 
-// whose tells by what a request's key was judged, where it had one or needed one.
-func whose(f map[string]string) string {
+// describeKey describes the check of the request's API key. It returns an empty string if the
+// request had no key and needed none.
+func describeKey(f map[string]string) string {
 	switch {
 	case f["team"] != "":
 		return fmt.Sprintf("; key %s of team %s, by a copy proven current %s ms before", f["key"], f["team"], f["proven_ms"])
@@ -194,15 +200,15 @@
 	return ""
 }
 
-// Cause is how many requests ended in one way.
+// Cause counts the requests that ended with the same outcome, reason and route.
 type Cause struct {
 	Outcome, Reason, Route string
 	Count                  int
-	// Example is the id of one of them.
+	// Example is the id of one of these requests.
 	Example string
 }
 
-// Causes counts the ends of requests other than good ones, most frequent first.
+// Causes counts the unsuccessful requests by cause, most frequent first.
 func Causes(lines []Line) []Cause {
 	counts := map[Cause]*Cause{}
 	for _, l := range lines {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -12,8 +12,8 @@
 	"github.com/junctionfold/junctionfold/internal/events"
 )
 
-// logs writes events of two VMs with the real log and reads them.
-func logs(t *testing.T) []Line {
+// sampleLines logs events of two VMs with package events and returns the parsed lines.
+func sampleLines(t *testing.T) []Line {
 	t.Helper()
 	var first, second bytes.Buffer
 	a, b := events.New(&first, "info", "edge-1"), events.New(&second, "info", "edge-2")
@@ -41,33 +41,33 @@
 	return lines
 }
 
-func TestStoryAcrossVMs(t *testing.T) {
-	s, err := Explain(logs(t), "r1")
+func TestExplainCombinesLogsOfSeveralVMs(t *testing.T) {
+	e, err := Explain(sampleLines(t), "r1")
 	assert.NilError(t, err)
-	assert.Equal(t, len(s.RequestLines), 2)
-	var around []string
-	for _, l := range s.RelatedLines {
-		around = append(around, l.Event)
+	assert.Equal(t, len(e.RequestLines), 2)
+	var related []string
+	for _, l := range e.RelatedLines {
+		related = append(related, l.Event)
 	}
-	text := strings.Join(around, " ")
+	text := strings.Join(related, " ")
 	for _, want := range []string{"duty_taken", "config_adopted", "target_changed", "order_answered"} {
-		assert.Assert(t, strings.Contains(text, want), "%s lacks %s", text, want)
+		assert.Assert(t, strings.Contains(text, want), "%s does not contain %s", text, want)
 	}
-	assert.Equal(t, strings.Count(text, "target_changed"), 1, "i-9 has nothing to do with it")
-	assert.Assert(t, strings.Contains(s.Conclusion, "refused (not_run), status 503; attempt 1 was at i-1, chosen by edge-2"), s.Conclusion)
+	assert.Equal(t, strings.Count(text, "target_changed"), 1, "i-9 is not related to the request")
+	assert.Assert(t, strings.Contains(e.Conclusion, "refused (not_run), status 503; attempt 1 was at i-1, chosen by edge-2"), e.Conclusion)
 }
 
-func TestUnknownAndUnclosed(t *testing.T) {
-	lines := logs(t)
+func TestExplainUnknownAndUnfinishedRequests(t *testing.T) {
+	lines := sampleLines(t)
 	_, err := Explain(lines, "nobody")
 	assert.Assert(t, errors.Is(err, ErrRequestNotFound))
-	s, err := Explain(lines, "r5")
+	e, err := Explain(lines, "r5")
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(s.Conclusion, "no line closes it"))
+	assert.Assert(t, strings.Contains(e.Conclusion, "no line closes it"))
 }
 
-func TestCauses(t *testing.T) {
-	got := Causes(logs(t))
+func TestCausesCountsUnsuccessfulRequests(t *testing.T) {
+	got := Causes(sampleLines(t))
 	assert.DeepEqual(t, got, []Cause{
 		{Outcome: "refused", Reason: "not_run", Route: "x", Count: 2, Example: "r1"},
 		{Outcome: "cut", Reason: "stream_cut", Route: "y", Count: 1, Example: "r3"},
@@ -85,9 +85,9 @@
 	})
 }
 
-// TestWhoseRequestItWas: a request that was denied, refused or served for its key is explained
-// by its id.
-func TestWhoseRequestItWas(t *testing.T) {
+// TestConclusionExplainsKeyCheck verifies that the conclusion of a request that was denied or
+// refused because of its key or the quota of its team states the reason.
+func TestConclusionExplainsKeyCheck(t *testing.T) {
 	var out bytes.Buffer
 	l := events.New(&out, "info", "edge-1")
 	now := time.Now()
@@ -103,8 +103,8 @@
 		"unknown": "key abcd0102, which no team of that configuration has, by a copy proven current 1000 ms before",
 		"old":     "no key could be judged, as the copy was proven current 6000 ms before",
 	} {
-		s, err := Explain(lines, id)
+		e, err := Explain(lines, id)
 		assert.NilError(t, err)
-		assert.Assert(t, strings.Contains(s.Conclusion, want), s.Conclusion)
+		assert.Assert(t, strings.Contains(e.Conclusion, want), e.Conclusion)
 	}
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,6 @@
-// Package ops is the operators' HTTP interface: what a VM is doing and why. It
-// changes nothing; the fleet is driven by bundles.
+// Package ops implements the read-only HTTP interface for operators. It reports the status of a
+// VM, placement explanations, the audit trail and metrics. Changes to the fleet are made by
+// bundles only.
 package ops
 
 import (
@@ -22,7 +23,7 @@
 	MetricsPath = "/debug/vars"
 )
 
-// Source is what the interface shows.
+// Source provides the data that the interface reports.
 type Source struct {
 	Status  func() *schema.Status
 	Audit   func() []*schema.AuditEvent
@@ -31,12 +32,13 @@
 	Explain func(catalog.Model) *schema.Explanation
 }
 
-// New returns the interface. Every request needs the token.
+// New returns the handler of the interface. Every request must have the operator token as its
+// bearer token.
 func New(token string, s Source) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+StatusPath, func(w http.ResponseWriter, _ *http.Request) { write(w, s.Status()) })
+	mux.HandleFunc("GET "+StatusPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Status()) })
 	mux.HandleFunc("GET "+AuditPath, func(w http.ResponseWriter, _ *http.Request) {
-		write(w, &schema.AuditTrail{Events: s.Audit()})
+		writeJSON(w, &schema.AuditTrail{Events: s.Audit()})
 	})
 	mux.HandleFunc("GET "+ExplainPath, s.explain)
 	mux.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -70,10 +72,10 @@
 		http.Error(w, "the bundle in force does not hold "+name, http.StatusNotFound)
 		return
 	}
-	write(w, s.Explain(model))
+	writeJSON(w, s.Explain(model))
 }
 
-func write(w http.ResponseWriter, m proto.Message) {
+func writeJSON(w http.ResponseWriter, m proto.Message) {
 	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// answer is one completion. Its text starts with the weights that ran.
+// answer is one completion. Its text starts with the path of the weights that produced it.
 type answer struct {
 	id    string
 	model string
@@ -37,14 +37,15 @@
 func (a *answer) completion(object string, c choice) []byte {
 	data, err := json.Marshal(completion{ID: "cmpl-" + a.id, Object: object, Model: a.model, Choices: []choice{c}})
 	if err != nil {
-		panic(err) // plain strings always encode
+		panic(err) // strings always encode
 	}
 	return data
 }
 
 var stopReason = "stop"
 
-func (a *answer) whole() []byte {
+// fullBody returns the answer as the body of a response that is not streamed.
+func (a *answer) fullBody() []byte {
 	text := strings.Join(a.words, " ")
 	if !a.chat {
 		return a.completion("text_completion", choice{Text: text, FinishReason: &stopReason})
@@ -54,27 +55,28 @@
 	})
 }
 
-// events returns the answer as the events of a stream, one for each word, then
-// the finish and the end mark.
+// events returns the answer as server-sent events: one for each word, one with the finish
+// reason, and the end marker.
 func (a *answer) events() [][]byte {
 	var out [][]byte
 	for i, w := range a.words {
 		if i > 0 {
 			w = " " + w
 		}
-		out = append(out, event(a.part(w, nil)))
+		out = append(out, sseEvent(a.chunk(w, nil)))
 	}
-	out = append(out, event(a.part("", &stopReason)))
-	return append(out, event([]byte("[DONE]")))
+	out = append(out, sseEvent(a.chunk("", &stopReason)))
+	return append(out, sseEvent([]byte("[DONE]")))
 }
 
-func (a *answer) part(text string, finish *string) []byte {
+// chunk returns the data of one event of a stream. finish is nil for all but the last chunk.
+func (a *answer) chunk(text string, finish *string) []byte {
 	if !a.chat {
 		return a.completion("text_completion", choice{Text: text, FinishReason: finish})
 	}
 	return a.completion("chat.completion.chunk", choice{Delta: &chatMessage{Content: text}, FinishReason: finish})
 }
 
-func event(data []byte) []byte {
+func sseEvent(data []byte) []byte {
 	return append(append([]byte("data: "), data...), "\n\n"...)
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,67 +14,69 @@
 	"github.com/junctionfold/junctionfold/internal/target"
 )
 
-// EngineFaults are the switches of an engine.
+// EngineFaults configures the faults that an engine injects.
 type EngineFaults struct {
-	// FailLoads makes that many loads fail.
+	// FailLoads is the number of next loads that fail.
 	FailLoads int
-	// TruncateStreams ends that many streams without an end mark after CutEvents.
+	// TruncateStreams is the number of next streams that are aborted without an end marker
+	// after TruncateAfterEvents events.
 	TruncateStreams     int
 	TruncateAfterEvents int
-	// WrongAdapter makes answers name another adapter.
+	// WrongAdapter makes completions name another adapter than the requested one.
 	WrongAdapter bool
-	// NoResume forgets streams.
+	// NoResume makes requests to resume a stream fail.
 	NoResume bool
-	// Leaving is what the report says.
+	// Leaving is reported as the engine's leaving state.
 	Leaving bool
 }
 
-// EngineConfig describes an engine.
+// EngineConfig configures an Engine.
 type EngineConfig struct {
 	Base  string
 	Slots int
-	// RejectsStaleTokens says whether orders with old numbers are refused.
+	// RejectsStaleTokens makes the engine reject orders whose fencing token is lower than the
+	// highest one it has received.
 	RejectsStaleTokens bool
-	// TokenTime is the time of one token.
+	// TokenTime is the time to generate one token.
 	TokenTime time.Duration
 	Weights   *WeightStore
-	// OrderToken is needed for orders; empty for an engine that does not
-	// check who gives them.
+	// OrderToken is the bearer token that orders must have. If it is empty, orders are not
+	// authenticated.
 	OrderToken string
 }
 
-// Engine is a model engine.
+// Engine is a fake model engine with LoRA adapters.
 type Engine struct {
 	cfg EngineConfig
 	mux *http.ServeMux
 
-	mu       sync.Mutex
-	boot     string
-	fence    uint64
-	resident map[string]string
-	loading  int
-	running  map[string]int
-	streams  map[string]*stream
-	faults   EngineFaults
-	ran      map[string]int
-	evicted  []string
-	total    int
+	mu           sync.Mutex
+	bootID       string
+	fencingToken uint64
+	resident     map[string]string
+	loading      int
+	running      map[string]int
+	streams      map[string]*stream
+	faults       EngineFaults
+	runs         map[string]int
+	evictedInUse []string
+	totalRuns    int
 }
 
-// stream is an answer being generated; it can be taken up again.
+// stream holds the events of a streamed completion, so that a client can resume it.
 type stream struct {
 	events [][]byte
 }
 
-// NewEngine returns an engine that holds no adapter.
+// NewEngine returns an engine without resident adapters.
 func NewEngine(cfg EngineConfig) *Engine {
 	e := &Engine{cfg: cfg, mux: http.NewServeMux()}
 	e.reset()
-	e.ran = map[string]int{}
+	e.runs = map[string]int{}
 	e.mux.HandleFunc("GET "+target.StatePath, e.state)
-	e.mux.HandleFunc("POST "+target.RolePath, e.order(e.role))
-	e.mux.HandleFunc("POST "+target.LoadPath, e.order(e.load))
-	e.mux.HandleFunc("POST "+target.UnloadPath, e.order(e.unload))
+	e.mux.HandleFunc("POST "+target.RolePath, e.authorizeOrder(e.role))
+	e.mux.HandleFunc("POST "+target.LoadPath, e.authorizeOrder(e.load))
+	e.mux.HandleFunc("POST "+target.UnloadPath, e.authorizeOrder(e.unload))
 	e.mux.HandleFunc("GET "+target.StreamPath+"{id}", e.resume)
 	e.mux.HandleFunc("POST /v1/chat/completions", e.complete)
 	e.mux.HandleFunc("POST /v1/completions", e.complete)
@@ -82,47 +84,47 @@
 }
 
 func (e *Engine) reset() {
-	e.boot = uuid.NewString()
-	e.fence = 0
+	e.bootID = uuid.NewString()
+	e.fencingToken = 0
 	e.resident = map[string]string{}
 	e.running = map[string]int{}
 	e.streams = map[string]*stream{}
 }
 
-// Restart empties the engine, as a cold start does.
+// Restart simulates a cold start: the engine gets a new boot id and loses its adapters, streams
+// and fencing token.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reset()
 }
 
-// SetFaults sets the switches.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Runs returns how often each request id was run.
+// Runs returns the number of runs of each request id.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make(map[string]int, len(e.ran))
-	for k, v := range e.ran {
+	out := make(map[string]int, len(e.runs))
+	for k, v := range e.runs {
 		out[k] = v
 	}
 	return out
 }
 
-// EvictedInUse returns the adapters that were unloaded while a request used
-// them.
+// EvictedInUse returns the adapters that were unloaded while a request used them.
 func (e *Engine) EvictedInUse() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]string(nil), e.evicted...)
+	return append([]string(nil), e.evictedInUse...)
 }
 
-// Resident returns the names held.
+// Resident returns the names of the resident adapters.
 func (e *Engine) Resident() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,12 +135,12 @@
 	return out
 }
 
-// ServeHTTP serves the engine's interface.
+// ServeHTTP serves the HTTP interface of the engine.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-func writeError(w http.ResponseWriter, status int, code string, fence uint64) {
+func writeError(w http.ResponseWriter, status int, code string, token uint64) {
 	var body target.ErrorBody
-	body.Error.Code, body.Error.Message, body.Error.Fence = code, code, fence
+	body.Error.Code, body.Error.Message, body.Error.Fence = code, code, token
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
@@ -146,7 +148,7 @@
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	s := target.State{BootID: e.boot, FencingToken: e.fence, Leaving: e.faults.Leaving, Slots: e.cfg.Slots}
+	s := target.State{BootID: e.bootID, FencingToken: e.fencingToken, Leaving: e.faults.Leaving, Slots: e.cfg.Slots}
 	for n := range e.resident {
 		s.Resident = append(s.Resident, n)
 	}
@@ -158,33 +160,36 @@
 	_ = json.NewEncoder(w).Encode(s)
 }
 
-// order checks who gives an order and under which number.
-func (e *Engine) order(do http.HandlerFunc) http.HandlerFunc {
+// authorizeOrder wraps the handler of an order. It rejects orders without a valid order token
+// or with a stale fencing token.
+func (e *Engine) authorizeOrder(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if e.cfg.OrderToken != "" && r.Header.Get("Authorization") != "Bearer "+e.cfg.OrderToken {
 			writeError(w, http.StatusUnauthorized, "unauthorized", 0)
 			return
 		}
-		fence, _ := strconv.ParseUint(r.Header.Get(target.FencingTokenHeader), 10, 64)
-		if seen, ok := e.passFence(fence); !ok {
-			writeError(w, http.StatusConflict, target.EngineStaleToken, seen)
+		token, _ := strconv.ParseUint(r.Header.Get(target.FencingTokenHeader), 10, 64)
+		if highest, ok := e.checkFencingToken(token); !ok {
+			writeError(w, http.StatusConflict, target.EngineStaleToken, highest)
 			return
 		}
-		do(w, r)
+		next(w, r)
 	}
 }
 
-func (e *Engine) passFence(fence uint64) (seen uint64, ok bool) {
+// checkFencingToken reports whether an order with this fencing token is accepted, and records the
+// token. If the token is stale, it returns the highest token received.
+func (e *Engine) checkFencingToken(token uint64) (highest uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.cfg.RejectsStaleTokens {
 		return 0, true
 	}
-	if fence < e.fence {
-		return e.fence, false
+	if token < e.fencingToken {
+		return e.fencingToken, false
 	}
-	e.fence = fence
-	return fence, true
+	e.fencingToken = token
+	return token, true
 }
 
 func (e *Engine) role(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
@@ -196,14 +201,14 @@
 		return
 	}
 	e.mu.Lock()
-	_, there := e.resident[o.Name]
+	_, isResident := e.resident[o.Name]
 	full := len(e.resident)+e.loading >= e.cfg.Slots
 	fail := e.faults.FailLoads > 0
-	boot := e.boot
+	bootID := e.bootID
 	switch {
-	case there || full:
+	case isResident || full:
 		e.mu.Unlock()
-		if there {
+		if isResident {
 			w.WriteHeader(http.StatusOK)
 		} else {
 			writeError(w, http.StatusConflict, "no_free_slot", 0)
@@ -217,7 +222,7 @@
 	e.cfg.Weights.Fetch(o.Path)
 	e.mu.Lock()
 	e.loading--
-	ok := !fail && e.boot == boot
+	ok := !fail && e.bootID == bootID
 	if ok {
 		e.resident[o.Name] = o.Path
 	}
@@ -236,12 +241,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.running[o.Name] > 0 {
-		e.evicted = append(e.evicted, o.Name)
+		e.evictedInUse = append(e.evictedInUse, o.Name)
 	}
 	delete(e.resident, o.Name)
 }
 
-// completionBody is what the engine reads of a request.
+// completionBody holds the fields of a completion request that the engine uses.
 type completionBody struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -251,6 +256,7 @@
 	} `json:"messages"`
 }
 
+// text returns the last chat message, or the prompt if there are no messages.
 func (b *completionBody) text() string {
 	if n := len(b.Messages); n > 0 {
 		return b.Messages[n-1].Content
@@ -264,12 +270,12 @@
 		writeError(w, http.StatusBadRequest, "bad_request", 0)
 		return
 	}
-	a, ok := e.begin(&b, r)
+	a, ok := e.beginRun(&b, r)
 	if !ok {
 		writeError(w, http.StatusNotFound, target.EngineNotLoaded, 0)
 		return
 	}
-	defer e.end(b.Model)
+	defer e.endRun(b.Model)
 	if b.Stream {
 		e.serveStream(w, r, a)
 		return
@@ -278,11 +284,12 @@
 		time.Sleep(e.cfg.TokenTime)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(a.whole())
+	_, _ = w.Write(a.fullBody())
 }
 
-// begin starts a run if its adapter is resident.
-func (e *Engine) begin(b *completionBody, r *http.Request) (*answer, bool) {
+// beginRun records the start of a run and returns its answer. It returns false if the requested
+// adapter is not resident.
+func (e *Engine) beginRun(b *completionBody, r *http.Request) (*answer, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	path, ok := e.resident[b.Model]
@@ -293,8 +300,8 @@
 		path = b.Model
 	}
 	id := r.Header.Get(target.RequestIDKey)
-	e.ran[id]++
-	e.total++
+	e.runs[id]++
+	e.totalRuns++
 	e.running[b.Model]++
 	a := &answer{id: id, model: b.Model, chat: strings.Contains(r.URL.Path, "chat")}
 	if e.faults.WrongAdapter {
@@ -304,7 +311,7 @@
 	return a, true
 }
 
-func (e *Engine) end(model string) {
+func (e *Engine) endRun(model string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running[model]--
@@ -314,23 +321,23 @@
 	s := &stream{}
 	e.mu.Lock()
 	e.streams[a.id] = s
-	cut := -1
+	truncateAt := -1
 	if e.faults.TruncateStreams > 0 {
 		e.faults.TruncateStreams--
-		cut = e.faults.TruncateAfterEvents
+		truncateAt = e.faults.TruncateAfterEvents
 	}
 	e.mu.Unlock()
 	s.events = a.events()
-	e.send(w, r, s, 0, cut)
+	e.sendEvents(w, r, s, 0, truncateAt)
 }
 
-// send writes the events after the given one. It cuts the connection before
-// event number cut.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *stream, after, cut int) {
+// sendEvents writes the events of a stream from index after on. It aborts the connection before
+// the event with index truncateAt; a negative index disables that.
+func (e *Engine) sendEvents(w http.ResponseWriter, r *http.Request, s *stream, after, truncateAt int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
 	for i := after; i < len(s.events); i++ {
-		if i == cut {
+		if i == truncateAt {
 			panic(http.ErrAbortHandler)
 		}
 		if e.cfg.TokenTime > 0 {
@@ -358,5 +365,5 @@
 		return
 	}
 	after, _ := strconv.Atoi(r.Header.Get(target.LastEventID))
-	e.send(w, r, s, after, -1)
+	e.sendEvents(w, r, s, after, -1)
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,7 +1,7 @@
-// Package standin holds small fakes of what junctionfold meets: the
-// configuration service, the VM list, the weight store, model engines and plain
-// services. Each speaks the real one's protocol on a socket and has switches for
-// the faults that tests cause.
+// Package standin provides fakes of the external systems that junctionfold depends on: the
+// configuration service, the VM list, the weight store, model engines and plain services. The
+// network services implement the protocol of the real system, and the fakes have switches for
+// the faults that tests inject.
 package standin
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/junctionfold/junctionfold/internal/platform"
 )
 
-// VM is one line of the published list.
+// VM is one entry of the published VM list.
 type VM struct {
 	ID      string `json:"id"`
 	Zone    string `json:"hall"`
@@ -23,15 +23,15 @@
 	State   string `json:"state"`
 }
 
-// Platform is the configuration service and the VM list.
+// Platform is a fake of the configuration service and the VM list.
 type Platform struct {
-	mu       sync.Mutex
-	values   map[string]platform.Value
-	revision uint64
-	changed  chan struct{}
-	vms      []VM
-	listVer  uint64
-	down     bool
+	mu            sync.Mutex
+	values        map[string]platform.Value
+	revision      uint64
+	changed       chan struct{}
+	vms           []VM
+	vmListVersion uint64
+	down          bool
 }
 
 // NewPlatform returns an empty platform.
@@ -39,7 +39,8 @@
 	return &Platform{values: map[string]platform.Value{}, changed: make(chan struct{})}
 }
 
-// Publish sets values, as the operators' own means would.
+// Publish sets values under a new revision, as the tools of the operators do, and wakes up the
+// requests that wait for a change.
 func (p *Platform) Publish(values map[string][]byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,17 +57,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms = append([]VM(nil), vms...)
-	p.listVer++
+	p.vmListVersion++
 }
 
-// SetDown makes every call fail, or ends that.
+// SetDown sets whether every request fails with status 503.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// ServeHTTP serves both services.
+// ServeHTTP serves the configuration service and the VM list.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	down := p.down
@@ -75,7 +76,7 @@
 	case down:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case r.URL.Path == platform.VMsPath:
-		p.serveList(w)
+		p.serveVMList(w)
 	case strings.HasPrefix(r.URL.Path, platform.ValuePath):
 		p.serveValue(w, r, strings.TrimPrefix(r.URL.Path, platform.ValuePath))
 	default:
@@ -83,13 +84,15 @@
 	}
 }
 
-func (p *Platform) serveList(w http.ResponseWriter) {
+func (p *Platform) serveVMList(w http.ResponseWriter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{"version": p.listVer, "vms": p.vms})
+	_ = json.NewEncoder(w).Encode(map[string]any{"version": p.vmListVersion, "vms": p.vms})
 }
 
+// serveValue returns the value of a key. If the request sets a wait time, it responds when the
+// revision of the value differs from the given one or the wait time is over.
 func (p *Platform) serveValue(w http.ResponseWriter, r *http.Request, key string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get(platform.AfterParam), 10, 64)
 	wait, _ := strconv.ParseInt(r.URL.Query().Get(platform.WaitParam), 10, 64)
@@ -124,36 +127,37 @@
 	_, _ = w.Write(v.Data)
 }
 
-// WeightStore gives adapters' weights, one at a time at full speed; loads that
-// run at once share the speed.
+// WeightStore simulates the store of adapter weights. A single load runs at full speed;
+// concurrent loads share the bandwidth.
 type WeightStore struct {
-	// LoadTime of one load alone.
+	// LoadTime is the duration of a load without concurrent loads.
 	LoadTime time.Duration
 
-	mu      sync.Mutex
-	current int
-	loads   map[string]int
+	mu     sync.Mutex
+	active int
+	loads  map[string]int
 }
 
-// NewWeightStore returns a store with the given time for one load.
+// NewWeightStore returns a store with the given duration of a single load.
 func NewWeightStore(loadTime time.Duration) *WeightStore {
 	return &WeightStore{LoadTime: loadTime, loads: map[string]int{}}
 }
 
-// Fetch blocks for the time of one load.
+// Fetch blocks for the duration of one load, LoadTime times the number of loads that are active
+// when it starts.
 func (s *WeightStore) Fetch(path string) {
 	s.mu.Lock()
-	s.current++
+	s.active++
 	s.loads[path]++
-	share := s.current
+	share := s.active
 	s.mu.Unlock()
 	time.Sleep(time.Duration(share) * s.LoadTime)
 	s.mu.Lock()
-	s.current--
+	s.active--
 	s.mu.Unlock()
 }
 
-// Loads returns how often each path was fetched.
+// Loads returns the number of fetches of each path.
 func (s *WeightStore) Loads() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -9,42 +9,42 @@
 	"github.com/junctionfold/junctionfold/internal/target"
 )
 
-// Service is an instance of a plain service. It numbers the calls it runs, so
-// that a doubled one shows.
+// Service is a fake instance of a plain service. It numbers the calls it runs, so that a call
+// that runs twice is visible.
 type Service struct {
-	mu   sync.Mutex
-	runs map[string]int
-	next int
-	// dropAfterRun closes that many connections after the call has run.
+	mu            sync.Mutex
+	runs          map[string]int
+	lastRunNumber int
+	// dropAfterRun is the number of next calls whose connection is aborted after the run.
 	dropAfterRun int
 }
 
-// NewService returns an instance that has run nothing.
+// NewService returns an instance that has not run any call.
 func NewService() *Service { return &Service{runs: map[string]int{}} }
 
-// DropAfterRun makes that many calls run and then lose their answer.
+// DropAfterRun makes the next n calls run but lose their response.
 func (s *Service) DropAfterRun(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropAfterRun = n
 }
 
-// Runs returns how often a body was run.
+// Runs returns the number of runs of calls with the given body.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[body]
 }
 
-// ServeHTTP runs a call.
+// ServeHTTP runs a call and responds with its run number.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
-	s.next++
-	number := s.next
+	s.lastRunNumber++
+	number := s.lastRunNumber
 	s.runs[string(body)]++
 	drop := s.dropAfterRun > 0
 	if drop {
