--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,6 +1,6 @@
-// Package audit keeps the trail of changes: who changed what, when, the old
-// value and the new one. VMs keep nothing for good, so each change is a log
-// line and an entry in a bounded ring in memory.
+// Package audit keeps the audit trail of changes: the actor, the subject, the time,
+// and the old and new value. VMs have no persistent storage, so each change is
+// written to the log and kept in a bounded ring buffer in memory.
 package audit
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Capacity is how many events the ring holds.
+// Capacity is the maximum number of events in the ring buffer.
 const Capacity = 1024
 
 // Trail is the audit trail of one VM. It is safe for concurrent use.
@@ -25,12 +25,12 @@
 	count int
 }
 
-// New returns an empty Trail.
+// New returns an empty Trail of a VM that writes each change to l.
 func New(vm string, l log.Interface) *Trail { return &Trail{vm: vm, log: l} }
 
-// Change is one change to note.
+// Change is one change to be recorded.
 type Change struct {
-	// Actor is who changed it: the author of a bundle, or a part of the system.
+	// Actor made the change: the author of a bundle, or a part of the system.
 	Actor   string
 	Subject string
 	Old     string
@@ -38,7 +38,8 @@
 	Comment string
 }
 
-// Record adds a change.
+// Record adds a change to the trail and logs it. The oldest event is dropped if the
+// ring buffer is full.
 func (t *Trail) Record(now time.Time, c Change) {
 	e := &schema.AuditEvent{
 		UnixMs: now.UnixMilli(), Vm: t.vm, Actor: c.Actor,
@@ -53,7 +54,7 @@
 	}).Info("audit")
 }
 
-// Events returns the events held, oldest first.
+// Events returns the recorded events, oldest first.
 func (t *Trail) Events() []*schema.AuditEvent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -15,30 +15,31 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-func example(t testing.TB) *schema.Bundle {
+func parseExample(t testing.TB) *schema.Bundle {
 	t.Helper()
 	src, err := Parse("b.ini", []byte(Example))
 	assert.NilError(t, err)
 	return src.Bundle
 }
 
-// TestFindings changes the example and expects these findings.
-func TestFindings(t *testing.T) {
+// TestParseReportsFindings makes one edit to the example per row and expects the
+// finding for it.
+func TestParseReportsFindings(t *testing.T) {
 	for _, row := range []struct {
 		name, old, new, want string
 	}{
 		{"unknown base", "base = base-8b\nversions = v3", "base = base-9b\nversions = v3", `[adapter "cab-answers"] base: "base-9b" is not declared`},
-		{"a version twice", "versions = v1, v2", "versions = v1, v1", `[adapter "plough-notes"] versions: version "v1" stands twice`},
+		{"duplicate version", "versions = v1, v2", "versions = v1, v1", `[adapter "plough-notes"] versions: version "v1" stands twice`},
 		{"no version", "versions = v3", "versions =", `[adapter "cab-answers"] versions: is required`},
-		{"a name with @", `[adapter "cab-answers"]`, `[adapter "cab@answers"]`, `[adapter "cab@answers"]: name "cab@answers" may hold letters, digits and - _ . / only`},
-		{"an adapter twice", `[adapter "cab-answers"]`, `[adapter "plough-notes"]`, `[adapter "plough-notes"]: stands already at b.ini:`},
-		{"no fencing said", "batch = 16\nfencing = ignores", "batch = 16", `[target "koege-llm-1"] fencing: is required: does the engine refuse or ignore old fencing numbers?`},
+		{"adapter name with @", `[adapter "cab-answers"]`, `[adapter "cab@answers"]`, `[adapter "cab@answers"]: name "cab@answers" may hold letters, digits and - _ . / only`},
+		{"duplicate adapter", `[adapter "cab-answers"]`, `[adapter "plough-notes"]`, `[adapter "plough-notes"]: stands already at b.ini:`},
+		{"missing fencing", "batch = 16\nfencing = ignores", "batch = 16", `[target "koege-llm-1"] fencing: is required: does the engine refuse or ignore old fencing numbers?`},
 		{"unknown fencing", "fencing = ignores", "fencing = maybe", `fencing: "maybe" is none of refuses, ignores`},
-		{"an address twice", "address = 127.0.0.1:9003", "address = 127.0.0.1:9002", `[target "koege-llm-1"] address: 127.0.0.1:9002 belongs to target "roskilde-llm-1" already`},
-		{"a host name", "address = 127.0.0.1:9003", "address = koege:9003", `[target "koege-llm-1"] address: "koege:9003" is not an IP number with a port`},
-		{"a weight above one", "load_stall = 0.7", "load_stall = 7", `[weights] load_stall: 7 is not between 0 and 1`},
-		{"not a number at all", "load_stall = 0.7", "load_stall = NaN", `[weights] load_stall: NaN is not between 0 and 1`},
-		{"a service without a target kind", "kind = service", "kind = servant", `kind: "servant" is none of engine, service`},
+		{"duplicate address", "address = 127.0.0.1:9003", "address = 127.0.0.1:9002", `[target "koege-llm-1"] address: 127.0.0.1:9002 belongs to target "roskilde-llm-1" already`},
+		{"host name as address", "address = 127.0.0.1:9003", "address = koege:9003", `[target "koege-llm-1"] address: "koege:9003" is not an IP number with a port`},
+		{"weight above one", "load_stall = 0.7", "load_stall = 7", `[weights] load_stall: 7 is not between 0 and 1`},
+		{"weight is NaN", "load_stall = 0.7", "load_stall = NaN", `[weights] load_stall: NaN is not between 0 and 1`},
+		{"unknown target kind", "kind = service", "kind = servant", `kind: "servant" is none of engine, service`},
 		{"unknown section", "[weights]", "[weight]", `[weight]: unknown section; did you mean "weights"?`},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -51,8 +52,8 @@
 	}
 }
 
-func TestSplitAndJoin(t *testing.T) {
-	b := example(t)
+func TestJoinRestoresSplitBundle(t *testing.T) {
+	b := parseExample(t)
 	for i := range 3000 {
 		b.Adapters = append(b.Adapters, &schema.Adapter{Name: fmt.Sprintf("x%d", i), Base: "base-8b", Versions: []string{"v1"}})
 	}
@@ -64,16 +65,17 @@
 	b.Adapters[7].Versions = []string{"v9"}
 	m2, chunks2, err := Split(b)
 	assert.NilError(t, err)
-	fresh := 0
+	newChunks := 0
 	for hash := range chunks2 {
 		if chunks[hash] == nil {
-			fresh++
+			newChunks++
 		}
 	}
-	assert.Equal(t, fresh, 1, "one changed adapter makes one new chunk of %d", len(m2.Chunks))
+	assert.Equal(t, newChunks, 1, "one changed adapter must change one chunk of %d", len(m2.Chunks))
 }
 
-// TestDamage gives each kind of damage to a published bundle; none is accepted.
+// TestDamage checks that a published bundle is rejected if its manifest, signatures
+// or chunks were corrupted.
 func TestDamage(t *testing.T) {
 	private, public, err := NewKey("ops-a")
 	assert.NilError(t, err)
@@ -91,43 +93,44 @@
 		damage func(*testing.T, *schema.SignedManifest, Chunks)
 		ok     bool
 	}{
-		{"none", func(*testing.T, *schema.SignedManifest, Chunks) {}, true},
-		{"a byte of the manifest", func(_ *testing.T, s *schema.SignedManifest, _ Chunks) { s.Manifest[9] ^= 1 }, false},
-		{"a byte of the signature", func(_ *testing.T, s *schema.SignedManifest, _ Chunks) { s.Signatures[0].Value[3] ^= 1 }, false},
+		{"undamaged", func(*testing.T, *schema.SignedManifest, Chunks) {}, true},
+		{"corrupted manifest", func(_ *testing.T, s *schema.SignedManifest, _ Chunks) { s.Manifest[9] ^= 1 }, false},
+		{"corrupted signature", func(_ *testing.T, s *schema.SignedManifest, _ Chunks) { s.Signatures[0].Value[3] ^= 1 }, false},
 		{"no signature", func(_ *testing.T, s *schema.SignedManifest, _ Chunks) { s.Signatures = nil }, false},
-		{"another key of the same name", func(t *testing.T, s *schema.SignedManifest, _ Chunks) {
+		{"other key with the same id", func(t *testing.T, s *schema.SignedManifest, _ Chunks) {
 			s.Signatures = nil
 			sign(t, otherPrivate, s)
 		}, false},
-		{"a chunk cut in half", func(_ *testing.T, _ *schema.SignedManifest, c Chunks) {
+		{"truncated chunk", func(_ *testing.T, _ *schema.SignedManifest, c Chunks) {
 			for hash, data := range c {
 				c[hash] = data[:len(data)/2]
 			}
 		}, false},
-		{"a chunk missing", func(_ *testing.T, _ *schema.SignedManifest, c Chunks) { clear(c) }, false},
+		{"missing chunk", func(_ *testing.T, _ *schema.SignedManifest, c Chunks) { clear(c) }, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			m, chunks, err := Split(example(t))
+			m, chunks, err := Split(parseExample(t))
 			assert.NilError(t, err)
 			m.Version = 3
 			s, err := EncodeManifest(m)
 			assert.NilError(t, err)
 			sign(t, private, s)
 			row.damage(t, s, chunks)
-			read, err := DecodeManifest(s)
+			decoded, err := DecodeManifest(s)
 			if err == nil {
 				err = trust.Verify(s)
 			}
 			if err == nil {
-				_, err = Join(read, chunks.Get)
+				_, err = Join(decoded, chunks.Get)
 			}
 			assert.Equal(t, err == nil, row.ok, "%v", err)
 		})
 	}
 }
 
-// TestSignaturesOfTwoKeys counts different keys, not signatures.
-func TestSignaturesOfTwoKeys(t *testing.T) {
+// TestVerifyCountsDistinctKeys checks that two signatures by the same key do not
+// count as two signers.
+func TestVerifyCountsDistinctKeys(t *testing.T) {
 	privateA, publicA, err := NewKey("ops-a")
 	assert.NilError(t, err)
 	_, publicB, err := NewKey("ops-b")
@@ -143,7 +146,7 @@
 	assert.ErrorContains(t, trust.Verify(s), "2 required")
 }
 
-// BenchmarkCheck reads and checks a source of 60,000 adapters in 60 files.
+// BenchmarkCheck reads, checks and splits a source of 60,000 adapters in 60 files.
 func BenchmarkCheck(b *testing.B) {
 	dir := b.TempDir()
 	assert.NilError(b, os.WriteFile(filepath.Join(dir, "00.ini"), []byte(Example), 0o600))
@@ -172,13 +175,13 @@
 			return
 		}
 		if _, _, err := Split(src.Bundle); err != nil {
-			t.Fatalf("a bundle that was accepted cannot be built: %v", err)
+			t.Fatalf("Split failed on a bundle that Parse accepted: %v", err)
 		}
 	})
 }
 
 func FuzzManifest(f *testing.F) {
-	m, chunks, err := Split(example(f))
+	m, chunks, err := Split(parseExample(f))
 	assert.NilError(f, err)
 	m.Version = 1
 	s, err := EncodeManifest(m)
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -9,20 +9,21 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// MaxZones is how many halls a bundle may name; placement keeps one bit each.
+// MaxZones is the maximum number of zones in a bundle. Placement uses one bit of a
+// 64-bit mask for each zone.
 const MaxZones = 64
 
-// Limits of names, which travel in URLs and at engines.
+// Limits of names, which are used in URLs and sent to engines.
 const (
-	maxNameBytes = 128
-	nameLetters  = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./"
+	maxNameBytes   = 128
+	nameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./"
 )
 
-// checker checks a source's bundle as a whole.
+// checker validates a source's bundle, including references between items.
 type checker struct {
 	src        *Source
 	fs         *findings.List
-	halls      map[string]bool
+	zones      map[string]bool
 	bases      map[string]bool
 	services   map[string]bool
 	priorities map[string]bool
@@ -33,33 +34,33 @@
 	b := s.Bundle
 	c := &checker{
 		src: s, fs: fs,
-		halls: names(b.Halls), bases: names(b.Bases),
-		services: names(b.Services), priorities: names(b.Priorities),
+		zones: nameSet(b.Halls), bases: nameSet(b.Bases),
+		services: nameSet(b.Services), priorities: nameSet(b.Priorities),
 		addresses: map[string]string{},
 	}
-	c.hallCount()
+	c.checkZoneCount()
 	for _, h := range b.Halls {
-		c.name("hall", h.Name)
+		c.checkName("hall", h.Name)
 	}
 	for _, m := range b.Bases {
-		c.name("base", m.Name)
+		c.checkName("base", m.Name)
 	}
 	for _, a := range b.Adapters {
-		c.adapter(a)
+		c.checkAdapter(a)
 	}
 	for _, v := range b.Services {
-		c.service(v)
+		c.checkService(v)
 	}
 	for _, t := range b.Targets {
-		c.target(t)
+		c.checkTarget(t)
 	}
-	c.weights()
-	c.limits()
+	c.checkWeights()
+	c.checkLimits()
 }
 
 type named interface{ GetName() string }
 
-func names[T named](items []T) map[string]bool {
+func nameSet[T named](items []T) map[string]bool {
 	out := make(map[string]bool, len(items))
 	for _, i := range items {
 		out[i.GetName()] = true
@@ -68,10 +69,10 @@
 }
 
 func (c *checker) add(kind, name, key, format string, args ...any) {
-	c.fs.Add(c.src.place(kind, name, key), format, args...)
+	c.fs.Add(c.src.positionOf(kind, name, key), format, args...)
 }
 
-func (c *checker) name(kind, name string) {
+func (c *checker) checkName(kind, name string) {
 	if problem := nameProblem(name); problem != "" {
 		c.add(kind, name, "", "name %q %s", name, problem)
 	}
@@ -81,25 +82,25 @@
 	if name == "" || len(name) > maxNameBytes {
 		return "must have 1 to 128 letters"
 	}
-	if strings.Trim(name, nameLetters) != "" {
+	if strings.Trim(name, nameCharacters) != "" {
 		return "may hold letters, digits and - _ . / only"
 	}
 	return ""
 }
 
-func (c *checker) hallCount() {
+func (c *checker) checkZoneCount() {
 	if n := len(c.src.Bundle.Halls); n > MaxZones {
 		c.fs.Add(findings.Position{Section: "hall"}, "%d halls; at most %d are told apart", n, MaxZones)
 	}
 }
 
-func (c *checker) reference(kind, name, key, value string, known map[string]bool) {
+func (c *checker) checkReference(kind, name, key, value string, known map[string]bool) {
 	if value != "" && !known[value] {
 		c.add(kind, name, key, "%q is not declared", value)
 	}
 }
 
-func (c *checker) needed(kind, name, key, value string) bool {
+func (c *checker) checkRequired(kind, name, key, value string) bool {
 	if value == "" {
 		c.add(kind, name, key, "is required")
 		return false
@@ -107,26 +108,26 @@
 	return true
 }
 
-func (c *checker) adapter(a *schema.Adapter) {
-	c.name("adapter", a.Name)
-	if c.needed("adapter", a.Name, "base", a.Base) {
-		c.reference("adapter", a.Name, "base", a.Base, c.bases)
+func (c *checker) checkAdapter(a *schema.Adapter) {
+	c.checkName("adapter", a.Name)
+	if c.checkRequired("adapter", a.Name, "base", a.Base) {
+		c.checkReference("adapter", a.Name, "base", a.Base, c.bases)
 	}
 	if c.bases[a.Name] {
 		c.add("adapter", a.Name, "", "has the name of a base model")
 	}
-	c.reference("adapter", a.Name, "priority", a.Priority, c.priorities)
+	c.checkReference("adapter", a.Name, "priority", a.Priority, c.priorities)
 	for _, h := range a.Halls {
-		c.reference("adapter", a.Name, "halls", h, c.halls)
+		c.checkReference("adapter", a.Name, "halls", h, c.zones)
 	}
-	c.versions(a)
+	c.checkVersions(a)
 	if a.Revision < 0 {
 		c.add("adapter", a.Name, "revision", "%d is below zero", a.Revision)
 	}
-	c.atLeastZero("adapter", a.Name, "rate_limit", a.RateLimit)
+	c.checkNonNegative("adapter", a.Name, "rate_limit", a.RateLimit)
 }
 
-func (c *checker) versions(a *schema.Adapter) {
+func (c *checker) checkVersions(a *schema.Adapter) {
 	if len(a.Versions) == 0 {
 		c.add("adapter", a.Name, "versions", "is required")
 	}
@@ -142,37 +143,37 @@
 	}
 }
 
-func (c *checker) service(s *schema.Service) {
-	c.name("service", s.Name)
+func (c *checker) checkService(s *schema.Service) {
+	c.checkName("service", s.Name)
 	if strings.Contains(s.Name, "/") {
 		c.add("service", s.Name, "", "name may not hold a /: it is one step of the path")
 	}
-	c.reference("service", s.Name, "priority", s.Priority, c.priorities)
-	c.atLeastZero("service", s.Name, "rate_limit", s.RateLimit)
+	c.checkReference("service", s.Name, "priority", s.Priority, c.priorities)
+	c.checkNonNegative("service", s.Name, "rate_limit", s.RateLimit)
 	if s.TimeoutMs < 0 {
 		c.add("service", s.Name, "timeout_ms", "%d is below zero", s.TimeoutMs)
 	}
 }
 
-func (c *checker) target(t *schema.Target) {
-	c.name("target", t.Name)
-	c.address(t)
-	if c.needed("target", t.Name, "hall", t.Hall) {
-		c.reference("target", t.Name, "hall", t.Hall, c.halls)
+func (c *checker) checkTarget(t *schema.Target) {
+	c.checkName("target", t.Name)
+	c.checkAddress(t)
+	if c.checkRequired("target", t.Name, "hall", t.Hall) {
+		c.checkReference("target", t.Name, "hall", t.Hall, c.zones)
 	}
 	switch t.Kind {
 	case schema.TargetKind_TARGET_KIND_ENGINE:
-		c.engine(t)
+		c.checkEngine(t)
 	case schema.TargetKind_TARGET_KIND_SERVICE:
-		if c.needed("target", t.Name, "service", t.Service) {
-			c.reference("target", t.Name, "service", t.Service, c.services)
+		if c.checkRequired("target", t.Name, "service", t.Service) {
+			c.checkReference("target", t.Name, "service", t.Service, c.services)
 		}
 	default:
 		c.add("target", t.Name, "kind", "is required: engine or service")
 	}
 }
 
-func (c *checker) address(t *schema.Target) {
+func (c *checker) checkAddress(t *schema.Target) {
 	if _, err := netip.ParseAddrPort(t.Address); err != nil {
 		c.add("target", t.Name, "address", "%q is not an IP number with a port", t.Address)
 		return
@@ -183,15 +184,15 @@
 	c.addresses[t.Address] = t.Name
 }
 
-// Limits of what an engine may be declared with.
+// Upper bounds of an engine's declared slots and batch size.
 const (
 	maxSlots = 4096
 	maxBatch = 65536
 )
 
-func (c *checker) engine(t *schema.Target) {
-	if c.needed("target", t.Name, "base", t.Base) {
-		c.reference("target", t.Name, "base", t.Base, c.bases)
+func (c *checker) checkEngine(t *schema.Target) {
+	if c.checkRequired("target", t.Name, "base", t.Base) {
+		c.checkReference("target", t.Name, "base", t.Base, c.bases)
 	}
 	if t.Slots < 1 || t.Slots > maxSlots {
 		c.add("target", t.Name, "slots", "%d is not between 1 and %d", t.Slots, maxSlots)
@@ -204,25 +205,25 @@
 	}
 }
 
-func (c *checker) weights() {
+func (c *checker) checkWeights() {
 	w := c.src.Bundle.Weights
-	c.share("weights", "load_stall", w.LoadStall)
-	c.share("weights", "batch_efficiency", w.BatchEfficiency)
+	c.checkFraction("weights", "load_stall", w.LoadStall)
+	c.checkFraction("weights", "batch_efficiency", w.BatchEfficiency)
 }
 
-func (c *checker) share(kind, key string, x float64) {
+func (c *checker) checkFraction(kind, key string, x float64) {
 	if !(x >= 0 && x <= 1) {
 		c.add(kind, "", key, "%v is not between 0 and 1", x)
 	}
 }
 
-func (c *checker) atLeastZero(kind, name, key string, x float64) {
+func (c *checker) checkNonNegative(kind, name, key string, x float64) {
 	if !(x >= 0) || math.IsInf(x, 0) {
 		c.add(kind, name, key, "%v is not a number from 0", x)
 	}
 }
 
-// Ranges of the limits.
+// Ranges of the outcome retention and of the memory for outcomes.
 const (
 	minRetentionMs  = 10_000
 	maxRetentionMs  = 86_400_000
@@ -230,7 +231,7 @@
 	maxOutcomeBytes = 1 << 30
 )
 
-func (c *checker) limits() {
+func (c *checker) checkLimits() {
 	l := c.src.Bundle.Limits
 	if l.QueuePerTarget < 1 || l.QueuePerTarget > maxBatch {
 		c.add("limits", "", "queue_per_target", "%d is not between 1 and %d", l.QueuePerTarget, maxBatch)
@@ -244,6 +245,6 @@
 	if l.OutcomeBytes < minOutcomeBytes || l.OutcomeBytes > maxOutcomeBytes {
 		c.add("limits", "", "outcome_bytes", "%d is not between %d and %d", l.OutcomeBytes, minOutcomeBytes, maxOutcomeBytes)
 	}
-	c.atLeastZero("limits", "", "caller_rate_limit", l.CallerRateLimit)
-	c.share("limits", "retry_share", l.RetryShare)
+	c.checkNonNegative("limits", "", "caller_rate_limit", l.CallerRateLimit)
+	c.checkFraction("limits", "retry_share", l.RetryShare)
 }
--- a/internal/bundle/chunks.go
+++ b/internal/bundle/chunks.go
@@ -1,8 +1,9 @@
-// Package bundle makes, signs, checks and compares configuration bundles.
+// Package bundle builds, signs, validates and compares configuration bundles.
 //
-// A bundle is cut into chunks so that a small change re-sends little: all but
-// the adapters in one chunk, the adapters in buckets by the hash of their names.
-// A chunk is a partial Bundle; merging all chunks of a manifest gives the whole.
+// A bundle is split into chunks so that a small change resends little data. One
+// chunk holds everything but the adapters; the adapters are split into buckets by
+// the hash of their names. A chunk is a partial Bundle; merging all chunks of a
+// manifest restores the complete bundle.
 package bundle
 
 import (
@@ -19,34 +20,37 @@
 )
 
 const (
-	// MaxChunkBytes is well below the configuration service's limit of one
-	// megabyte a value.
+	// MaxChunkBytes is the maximum size of a chunk. It is well below the
+	// configuration service's limit of one megabyte per value.
 	MaxChunkBytes = 512 << 10
-	// MaxChunks bounds a manifest.
+	// MaxChunks is the maximum number of chunks in a manifest.
 	MaxChunks = 4096
-	// adaptersPerBucket balances the chunk that a change re-sends against the
-	// manifest that names all chunks; see docs/design/configuration.md.
+	// adaptersPerBucket is the average number of adapters per bucket above which the
+	// number of buckets doubles. It balances the size of a chunk, which is resent for
+	// each change, against the size of the manifest, which lists all chunks. See
+	// docs/design/configuration.md.
 	adaptersPerBucket = 256
 )
 
-// ManifestKey is the configuration service's key of the signed manifest.
+// ManifestKey is the key of the signed manifest in the configuration service.
 const ManifestKey = "junctionfold/manifest"
 
-// chunkPrefix is in front of a chunk's hash in its key.
+// chunkPrefix is the part of a chunk's key before its hash.
 const chunkPrefix = "junctionfold/chunk/"
 
-// ChunkKey is the configuration service's key of a chunk.
+// ChunkKey returns the key of a chunk in the configuration service.
 func ChunkKey(hash []byte) string { return chunkPrefix + hex.EncodeToString(hash) }
 
-// Chunks are a bundle's chunks by the hex of their hash.
+// Chunks holds the encoded chunks of a bundle by the hexadecimal SHA-256 of their
+// data.
 type Chunks map[string][]byte
 
-// Split cuts a bundle into chunks and lists them in a manifest, which still
-// lacks version and author.
+// Split splits a bundle into chunks and lists them in a manifest. It leaves the
+// version, author and other metadata of the manifest unset.
 func Split(b *schema.Bundle) (*schema.Manifest, Chunks, error) {
 	m := &schema.Manifest{}
 	chunks := Chunks{}
-	for i, part := range parts(b) {
+	for i, part := range partition(b) {
 		data, err := proto.MarshalOptions{Deterministic: true}.Marshal(part)
 		if err != nil {
 			return nil, nil, errors.Wrap(err, "encode chunk")
@@ -62,16 +66,17 @@
 	return m, chunks, nil
 }
 
-// parts returns the bundle without adapters, then each bucket of adapters.
-func parts(b *schema.Bundle) []*schema.Bundle {
-	rest := &schema.Bundle{
+// partition returns the bundle without its adapters, followed by the buckets of
+// adapters.
+func partition(b *schema.Bundle) []*schema.Bundle {
+	common := &schema.Bundle{
 		Halls: b.Halls, Bases: b.Bases, Services: b.Services, Targets: b.Targets,
 		Priorities: b.Priorities, Weights: b.Weights, Limits: b.Limits,
 	}
-	return append([]*schema.Bundle{rest}, buckets(b.Adapters)...)
+	return append([]*schema.Bundle{common}, bucketAdapters(b.Adapters)...)
 }
 
-func buckets(adapters []*schema.Adapter) []*schema.Bundle {
+func bucketAdapters(adapters []*schema.Adapter) []*schema.Bundle {
 	count := 1
 	for count*adaptersPerBucket < len(adapters) {
 		count *= 2
@@ -81,8 +86,8 @@
 		out[i] = &schema.Bundle{}
 	}
 	for _, a := range adapters {
-		at := xxhash.Sum64String(a.Name) % uint64(count)
-		out[at].Adapters = append(out[at].Adapters, a)
+		index := xxhash.Sum64String(a.Name) % uint64(count)
+		out[index].Adapters = append(out[index].Adapters, a)
 	}
 	for _, b := range out {
 		sort.Slice(b.Adapters, func(i, j int) bool { return b.Adapters[i].Name < b.Adapters[j].Name })
@@ -90,8 +95,8 @@
 	return out
 }
 
-// DecodeManifest decodes the manifest that a signed one carries and checks its
-// form. It does not check signatures.
+// DecodeManifest decodes the manifest inside a signed manifest and checks that its
+// version, hashes and sizes are well-formed. It does not verify signatures.
 func DecodeManifest(s *schema.SignedManifest) (*schema.Manifest, error) {
 	m := &schema.Manifest{}
 	if err := proto.Unmarshal(s.GetManifest(), m); err != nil {
@@ -111,7 +116,7 @@
 	return m, nil
 }
 
-// CheckChunk reports whether data is the chunk of that hash.
+// CheckChunk returns an error if data does not have the given hash.
 func CheckChunk(hash, data []byte) error {
 	sum := sha256.Sum256(data)
 	if !bytes.Equal(sum[:], hash) {
@@ -120,7 +125,8 @@
 	return nil
 }
 
-// Join merges the chunks of a manifest. get returns a chunk's data by its hash.
+// Join merges the chunks of a manifest into a bundle and checks their hashes. get
+// returns the data of a chunk by its hash.
 func Join(m *schema.Manifest, get func(hash []byte) ([]byte, error)) (*schema.Bundle, error) {
 	out := &schema.Bundle{}
 	for _, hash := range m.Chunks {
@@ -138,7 +144,7 @@
 	return out, nil
 }
 
-// Get returns a chunk by its hash.
+// Get returns the data of a chunk by its hash, or an error if it is missing.
 func (c Chunks) Get(hash []byte) ([]byte, error) {
 	data, ok := c[hex.EncodeToString(hash)]
 	if !ok {
@@ -147,7 +153,8 @@
 	return data, nil
 }
 
-// EncodeManifest puts version, author and time into a manifest and encodes it for signing.
+// EncodeManifest encodes a manifest deterministically into a signed manifest that
+// has no signatures yet.
 func EncodeManifest(m *schema.Manifest) (*schema.SignedManifest, error) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -14,12 +14,14 @@
 
 // Change is one item that differs between two bundles.
 type Change struct {
-	// Kind is "added", "removed" or "changed".
+	// Kind is Added, Removed or Changed.
 	Kind string `json:"kind"`
-	// Item names the list and the item, such as adapters/plough-notes.
+	// Item is the field of the bundle and, for lists, the name of the item, such as
+	// adapters/plough-notes.
 	Item string `json:"item"`
-	Old  string `json:"old,omitempty"`
-	New  string `json:"new,omitempty"`
+	// Old and New are the item as compact JSON; empty if it does not exist.
+	Old string `json:"old,omitempty"`
+	New string `json:"new,omitempty"`
 }
 
 // Kinds of change.
@@ -29,42 +31,44 @@
 	Changed = "changed"
 )
 
-// marks stand in front of a change's line.
-var marks = map[string]string{Added: "+", Removed: "-", Changed: "~"}
+// changePrefixes are the prefixes of a printed change by its kind.
+var changePrefixes = map[string]string{Added: "+", Removed: "-", Changed: "~"}
 
-// String gives the change on one line.
+// String returns the change on one line. The old and new values are included only
+// for changed items.
 func (c Change) String() string {
-	line := marks[c.Kind] + " " + c.Item
+	line := changePrefixes[c.Kind] + " " + c.Item
 	if c.Kind == Changed {
 		return line + ": " + c.Old + " -> " + c.New
 	}
 	return line
 }
 
-// Diff returns what differs between two bundles, in order of the items' names.
+// Diff returns the items that differ between two bundles, sorted by item.
 func Diff(older, newer *schema.Bundle) []Change {
-	before, after := items(older), items(newer)
+	before, after := itemsByName(older), itemsByName(newer)
 	out := []Change{}
-	for name, old := range before {
-		now, ok := after[name]
+	for name, previous := range before {
+		current, ok := after[name]
 		switch {
 		case !ok:
-			out = append(out, Change{Kind: Removed, Item: name, Old: text(old)})
-		case !proto.Equal(old, now):
-			out = append(out, Change{Kind: Changed, Item: name, Old: text(old), New: text(now)})
+			out = append(out, Change{Kind: Removed, Item: name, Old: compactJSON(previous)})
+		case !proto.Equal(previous, current):
+			out = append(out, Change{Kind: Changed, Item: name, Old: compactJSON(previous), New: compactJSON(current)})
 		}
 	}
-	for name, now := range after {
+	for name, current := range after {
 		if before[name] == nil {
-			out = append(out, Change{Kind: Added, Item: name, New: text(now)})
+			out = append(out, Change{Kind: Added, Item: name, New: compactJSON(current)})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Item < out[j].Item })
 	return out
 }
 
-// items returns every message of a bundle by list and name.
-func items(b *schema.Bundle) map[string]proto.Message {
+// itemsByName returns each message of a bundle by its field and, for lists, its
+// name.
+func itemsByName(b *schema.Bundle) map[string]proto.Message {
 	out := map[string]proto.Message{}
 	b.ProtoReflect().Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		if !f.IsList() {
@@ -81,8 +85,9 @@
 	return out
 }
 
-// text gives a message as compact JSON; protojson itself varies its spaces.
-func text(m proto.Message) string {
+// compactJSON encodes a message as compact JSON. The output of protojson is
+// compacted because its whitespace is not stable.
+func compactJSON(m proto.Message) string {
 	data := []byte(protojson.MarshalOptions{UseProtoNames: true}.Format(m))
 	var out bytes.Buffer
 	if err := json.Compact(&out, data); err != nil {
--- a/internal/bundle/keys.go
+++ b/internal/bundle/keys.go
@@ -13,14 +13,14 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// signContext is signed in front of the manifest, so that a signature made for
-// another purpose with the same key is not valid here.
-const signContext = "junctionfold bundle manifest v1\x00"
+// signatureContext is prepended to the signed data, so that a signature made with
+// the same key for another purpose is not valid for a manifest.
+const signatureContext = "junctionfold bundle manifest v1\x00"
 
-const privateKeyType = "PRIVATE KEY"
+const privateKeyPEMType = "PRIVATE KEY"
 
-// NewKey makes a signing key. It returns the private key in PEM and the public
-// key in the form that settings take.
+// NewKey generates an ed25519 signing key. It returns the private key in PEM and
+// the public key in the form id:base64 that the settings use.
 func NewKey(id string) (privatePEM []byte, public string, err error) {
 	if id == "" || strings.ContainsAny(id, ":, ") {
 		return nil, "", errors.Newf("key id %q: must be one word without : or ,", id)
@@ -33,16 +33,16 @@
 	if err != nil {
 		return nil, "", errors.Wrap(err, "encode key")
 	}
-	block := &pem.Block{Type: privateKeyType, Headers: map[string]string{"Key-Id": id}, Bytes: der}
+	block := &pem.Block{Type: privateKeyPEMType, Headers: map[string]string{"Key-Id": id}, Bytes: der}
 	return pem.EncodeToMemory(block), FormatPublicKey(id, pub), nil
 }
 
-// FormatPublicKey gives a public key as id:base64.
+// FormatPublicKey formats a public key as id:base64.
 func FormatPublicKey(id string, pub ed25519.PublicKey) string {
 	return id + ":" + base64.StdEncoding.EncodeToString(pub)
 }
 
-// ParsePublicKey reads a public key in the form id:base64.
+// ParsePublicKey parses a public key in the form id:base64.
 func ParsePublicKey(text string) (id string, pub ed25519.PublicKey, err error) {
 	id, encoded, ok := strings.Cut(text, ":")
 	if !ok || id == "" {
@@ -55,10 +55,10 @@
 	return id, raw, nil
 }
 
-// ParsePrivateKey reads a private key made by NewKey.
+// ParsePrivateKey parses a private key in the form that NewKey returns.
 func ParsePrivateKey(data []byte) (id string, priv ed25519.PrivateKey, err error) {
 	block, _ := pem.Decode(data)
-	if block == nil || block.Type != privateKeyType {
+	if block == nil || block.Type != privateKeyPEMType {
 		return "", nil, errors.New("not a PEM private key")
 	}
 	key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
@@ -72,7 +72,8 @@
 	return block.Headers["Key-Id"], priv, nil
 }
 
-// Sign adds a signature, or replaces the one of the same key.
+// Sign adds a signature by the given key, or replaces the signature with the same
+// key id.
 func Sign(m *schema.SignedManifest, id string, priv ed25519.PrivateKey) {
 	value := ed25519.Sign(priv, signedBytes(m))
 	for _, s := range m.Signatures {
@@ -85,16 +86,18 @@
 }
 
 func signedBytes(m *schema.SignedManifest) []byte {
-	return append([]byte(signContext), m.Manifest...)
+	return append([]byte(signatureContext), m.Manifest...)
 }
 
-// Trust says whose signatures make a manifest acceptable.
+// Trust holds the trusted public keys by id and the number of them that must have
+// signed a manifest.
 type Trust struct {
 	Keys     map[string]ed25519.PublicKey
 	Required int
 }
 
-// NewTrust reads the trust settings.
+// NewTrust returns the Trust for the settings. It returns an error if a key is
+// malformed or no signature is required.
 func NewTrust(t *schema.BundleTrust) (Trust, error) {
 	out := Trust{Keys: map[string]ed25519.PublicKey{}, Required: int(t.GetRequired())}
 	for _, text := range t.GetPublicKeys() {
@@ -125,7 +128,8 @@
 	return out
 }
 
-// Verify checks that enough trusted keys signed.
+// Verify returns an error unless at least Required distinct trusted keys have
+// signed the manifest.
 func (t Trust) Verify(m *schema.SignedManifest) error {
 	signers := t.Signers(m)
 	if len(signers) < t.Required {
--- a/internal/bundle/source.go
+++ b/internal/bundle/source.go
@@ -13,21 +13,23 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Source is a bundle read from INI files, with the place of every item.
+// Source is a bundle read from INI files, with the position of each item.
 type Source struct {
-	Bundle *schema.Bundle
-	places map[string]*inifile.Section
+	Bundle   *schema.Bundle
+	sections map[string]*inifile.Section
 }
 
-// place returns where a key of an item stands.
-func (s *Source) place(kind, name, key string) findings.Position {
-	if sec := s.places[kind+"/"+name]; sec != nil {
+// positionOf returns the position of a key of an item in the source files. If the
+// item has no section, the position has no file and line.
+func (s *Source) positionOf(kind, name, key string) findings.Position {
+	if sec := s.sections[kind+"/"+name]; sec != nil {
 		return sec.PositionOf(key)
 	}
 	return findings.Position{Section: kind + ` "` + name + `"`, Key: key}
 }
 
-// listSections maps a section's kind to the bundle's repeated field.
+// listSections maps the kinds of sections that declare a named item to the bundle's
+// repeated fields.
 var listSections = map[string]protoreflect.Name{
 	"hall":     "halls",
 	"base":     "bases",
@@ -37,7 +39,8 @@
 	"priority": "priorities",
 }
 
-// singleSections maps a section's kind to the bundle's single field.
+// singleSections maps the kinds of sections that occur once to the bundle's
+// singular fields.
 var singleSections = map[string]protoreflect.Name{
 	"weights": "weights",
 	"limits":  "limits",
@@ -55,16 +58,16 @@
 	return out
 }
 
-// ReadDir reads all *.ini files of a directory in order of their names, or the
-// one file that path names, and checks them together. The error is a
-// *findings.Error when the files could be read but are wrong.
+// ReadDir reads all *.ini files of a directory in the order of their names, or the
+// single file at path, and validates them together. The error is a
+// *findings.Error if the files could be read but are invalid.
 func ReadDir(path string) (*Source, error) {
 	files, err := sourceFiles(path)
 	if err != nil {
 		return nil, err
 	}
 	fs := &findings.List{}
-	src := &Source{Bundle: defaults(), places: map[string]*inifile.Section{}}
+	src := &Source{Bundle: defaults(), sections: map[string]*inifile.Section{}}
 	for _, f := range files {
 		data, err := os.ReadFile(f)
 		if err != nil {
@@ -76,10 +79,11 @@
 	return src, fs.Err()
 }
 
-// Parse reads one source from memory, as ReadDir does.
+// Parse parses and validates a single source file from memory. file is the name
+// used in findings. Errors are the same as for ReadDir.
 func Parse(file string, data []byte) (*Source, error) {
 	fs := &findings.List{}
-	src := &Source{Bundle: defaults(), places: map[string]*inifile.Section{}}
+	src := &Source{Bundle: defaults(), sections: map[string]*inifile.Section{}}
 	src.read(file, data, fs)
 	src.check(fs)
 	return src, fs.Err()
@@ -100,7 +104,8 @@
 	return files, nil
 }
 
-// defaults returns the weights and limits that hold where no file sets them.
+// defaults returns a bundle with the weights and limits that apply if no file sets
+// them.
 func defaults() *schema.Bundle {
 	return &schema.Bundle{
 		Weights: &schema.Weights{LoadStall: 0.5, BatchEfficiency: 0.5},
@@ -116,29 +121,30 @@
 	m := s.Bundle.ProtoReflect()
 	for i := range sections {
 		sec := &sections[i]
-		if !s.remember(sec, fs) {
+		if !s.registerSection(sec, fs) {
 			continue
 		}
-		if msg := messageFor(m, sec, fs); msg != nil {
+		if msg := messageForSection(m, sec, fs); msg != nil {
 			inifile.Decode(sec, msg, fs)
 		}
 	}
 }
 
-// remember notes an item's place; it returns false for an item that is there
-// already.
-func (s *Source) remember(sec *inifile.Section, fs *findings.List) bool {
+// registerSection records the section of an item. If the item was already declared,
+// it adds a finding and returns false.
+func (s *Source) registerSection(sec *inifile.Section, fs *findings.List) bool {
 	id := sec.Kind + "/" + sec.Label
-	if before := s.places[id]; before != nil {
-		fs.Add(sec.Position, "stands already at %s:%d", before.Position.File, before.Position.Line)
+	if first := s.sections[id]; first != nil {
+		fs.Add(sec.Position, "stands already at %s:%d", first.Position.File, first.Position.Line)
 		return false
 	}
-	s.places[id] = sec
+	s.sections[id] = sec
 	return true
 }
 
-// messageFor returns the message that a section fills, or nil with a finding.
-func messageFor(m protoreflect.Message, sec *inifile.Section, fs *findings.List) protoreflect.Message {
+// messageForSection returns the message of the bundle that a section sets. If the section
+// is unknown or lacks a name, it adds a finding and returns nil.
+func messageForSection(m protoreflect.Message, sec *inifile.Section, fs *findings.List) protoreflect.Message {
 	fields := m.Descriptor().Fields()
 	if name, ok := singleSections[sec.Kind]; ok {
 		return m.Mutable(fields.ByName(name)).Message()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog is a bundle compiled for serving: what a request's model names
-// resolve to, and the placement map of the targets. A Catalog is immutable.
+// Package catalog compiles a configuration bundle for serving: it resolves model
+// names and holds the placement map of the targets. A Catalog is immutable.
 package catalog
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Catalog is one bundle version, ready to serve.
+// Catalog is one bundle version, indexed for lookups by name.
 type Catalog struct {
 	Version  uint64
 	Weights  *schema.Weights
@@ -25,14 +25,13 @@
 	ranks    map[string]int
 }
 
-// Adapter is what the catalog knows of an adapter, or of a base model that is
-// served without one.
+// Adapter describes an adapter, or a base model that is served without one.
 type Adapter struct {
 	Name     string
 	Base     string
 	Versions []string
 	Rank     int
-	// ZoneMask is the placement mask of the halls that may serve it.
+	// ZoneMask is the placement bit mask of the zones that may serve the adapter.
 	ZoneMask  uint64
 	RateLimit float64
 	Revision  int32
@@ -49,14 +48,14 @@
 	idempotent map[string]bool
 }
 
-// Target is a back end with the hash of its name.
+// Target is a back end with the rendezvous hash of its name.
 type Target struct {
 	*schema.Target
 	ID   coord.TargetID
 	Hash uint64
 }
 
-// Model is what a caller's model name resolves to.
+// Model is the adapter version or base model that a model name resolves to.
 type Model struct {
 	Adapter coord.Adapter
 	Base    string
@@ -67,21 +66,21 @@
 	RateLimit float64
 }
 
-// ErrorKind says why a model name does not resolve.
+// ErrorKind is the reason why a model name does not resolve.
 type ErrorKind int
 
-// The kinds of resolution failure.
+// Results of resolving a model name.
 const (
 	OK ErrorKind = iota
-	// NoVersion means that the name has no @version.
+	// NoVersion means that the adapter exists but the name has no @version.
 	NoVersion
-	// UnknownAdapter means that the bundle has no such adapter.
+	// UnknownAdapter means that the bundle has no adapter of that name.
 	UnknownAdapter
-	// UnknownVersion means that the adapter has no such version.
+	// UnknownVersion means that the adapter does not have that version.
 	UnknownVersion
 )
 
-// New compiles a bundle.
+// New compiles a bundle with its version.
 func New(version uint64, b *schema.Bundle) *Catalog {
 	c := &Catalog{
 		Version: version, Weights: b.Weights, Limits: b.Limits,
@@ -105,15 +104,16 @@
 		c.services[s.Name] = &Service{
 			Name: s.Name, Rank: c.ranks[s.Priority], RateLimit: s.RateLimit,
 			Timeout:    time.Duration(s.TimeoutMs) * time.Millisecond,
-			idempotent: methodSet(s.IdempotentMethods),
+			idempotent: newMethodSet(s.IdempotentMethods),
 		}
 	}
 }
 
-// idempotentMethods are those of RFC 9110, section 9.2.2.
+// idempotentMethods are the idempotent methods of RFC 9110, section 9.2.2. They
+// apply to services that list none.
 var idempotentMethods = []string{"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"}
 
-func methodSet(methods []string) map[string]bool {
+func newMethodSet(methods []string) map[string]bool {
 	if len(methods) == 0 {
 		methods = idempotentMethods
 	}
@@ -124,7 +124,7 @@
 	return out
 }
 
-// Idempotent reports whether calls with the method may be repeated.
+// Idempotent reports whether a request with the method may be repeated.
 func (s *Service) Idempotent(method string) bool { return s.idempotent[method] }
 
 func (c *Catalog) addTargets(targets []*schema.Target) {
@@ -157,13 +157,13 @@
 	}
 }
 
-// Resolve finds what a model name stands for: adapter@version, or the name of a
-// base model.
+// Resolve returns the model of a name, which is either adapter@version or the name
+// of a base model.
 func (c *Catalog) Resolve(model string) (Model, ErrorKind) {
 	name, version, ok := strings.Cut(model, "@")
 	if !ok {
 		if b := c.bases[name]; b != nil {
-			return b.model(""), OK
+			return b.toModel(""), OK
 		}
 		if c.adapters[name] != nil {
 			return Model{}, NoVersion
@@ -176,13 +176,13 @@
 	}
 	for _, v := range a.Versions {
 		if v == version {
-			return a.model(v), OK
+			return a.toModel(v), OK
 		}
 	}
 	return Model{}, UnknownVersion
 }
 
-func (a *Adapter) model(version string) Model {
+func (a *Adapter) toModel(version string) Model {
 	ref := coord.Adapter{Name: a.Name, Version: version, Revision: a.Revision}
 	return Model{
 		Adapter: ref, Base: a.Base, Key: rendezvous.Hash(ref.Model()),
@@ -190,21 +190,21 @@
 	}
 }
 
-// ParseName reads an adapter's name at an engine back into the adapter. ok is
-// false for a name that the bundle does not hold, in the revision in force.
+// ParseName returns the adapter for the name that engines know it by. It returns
+// false if the bundle does not hold the adapter in that version and revision.
 func (c *Catalog) ParseName(name string) (coord.Adapter, bool) {
 	model, _, _ := strings.Cut(name, "+")
 	m, kind := c.Resolve(model)
 	return m.Adapter, kind == OK && m.Adapter.String() == name
 }
 
-// Service returns a plain service, or nil.
+// Service returns the plain service of that name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// Target returns a target, or nil.
+// Target returns the target of that id, or nil.
 func (c *Catalog) Target(id coord.TargetID) *Target { return c.targets[id] }
 
-// Targets returns all targets by id. The map is the catalog's own.
+// Targets returns all targets by id. The caller must not modify the map.
 func (c *Catalog) Targets() map[coord.TargetID]*Target { return c.targets }
 
 // Models calls f for every name that Resolve accepts.
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,4 +1,4 @@
-// Package certs makes the certificates that VMs show each other.
+// Package certs issues the certificates that VMs use for mutual TLS.
 package certs
 
 import (
@@ -17,25 +17,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Pair is a certificate with its key, both in PEM.
+// Pair is a certificate with its private key, both in PEM.
 type Pair struct {
 	Cert []byte
 	Key  []byte
 }
 
-// Lifetimes of certificates, and how far clocks may differ.
+// Validity periods of certificates. They start clockSkew in the past, so that VMs
+// with a slow clock accept new certificates.
 const (
-	authorityLife = 10 * 365 * 24 * time.Hour
-	vmLife        = 365 * 24 * time.Hour
-	clockSkew     = time.Hour
+	authorityValidity = 10 * 365 * 24 * time.Hour
+	vmValidity        = 365 * 24 * time.Hour
+	clockSkew         = time.Hour
 )
 
-// serialBits is the size of a certificate's random serial number.
+// serialBits is the size in bits of a certificate's random serial number.
 const serialBits = 120
 
-// NewAuthority makes a self-signed authority.
+// NewAuthority generates a self-signed certificate authority.
 func NewAuthority() (Pair, error) {
-	t, err := template("junctionfold authority", authorityLife)
+	t, err := newTemplate("junctionfold authority", authorityValidity)
 	if err != nil {
 		return Pair{}, err
 	}
@@ -45,8 +46,8 @@
 	return sign(t, t, nil)
 }
 
-// Issue makes the certificate of a VM. It names the VM's id; peers check that
-// against what the VM says of itself.
+// Issue issues a certificate for a VM. The certificate contains the VM's id, which
+// peers compare with the id that the VM reports.
 func Issue(authority Pair, vm string, ips []net.IP) (Pair, error) {
 	ca, err := tls.X509KeyPair(authority.Cert, authority.Key)
 	if err != nil {
@@ -56,7 +57,7 @@
 	if err != nil {
 		return Pair{}, errors.Wrap(err, "read authority")
 	}
-	t, err := template(vm, vmLife)
+	t, err := newTemplate(vm, vmValidity)
 	if err != nil {
 		return Pair{}, err
 	}
@@ -71,7 +72,7 @@
 	return sign(t, parent, key)
 }
 
-func template(name string, life time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, errors.Wrap(err, "make serial number")
@@ -81,12 +82,12 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-clockSkew),
-		NotAfter:     now.Add(life),
+		NotAfter:     now.Add(validity),
 	}, nil
 }
 
-// sign makes a key for t and signs t with the parent's key, or with its own when
-// there is no parent.
+// sign generates a key for t and signs t with the parent's key. If parentKey is
+// nil, t is self-signed.
 func sign(t, parent *x509.Certificate, parentKey crypto.Signer) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/confsync/adopt.go
+++ b/internal/confsync/adopt.go
@@ -11,22 +11,23 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// adopt verifies a manifest, fetches what it lacks and puts it in force. A
-// manifest that is not newer is not an error.
-func (s *Sync) adopt(ctx context.Context, signed *schema.SignedManifest, get chunkSource) error {
-	s.fetch.Lock()
-	defer s.fetch.Unlock()
+// applyManifest verifies a manifest, fetches the chunks that this VM lacks and
+// applies the bundle. It ignores an older manifest. A different manifest with the
+// version in force is an error.
+func (s *Sync) applyManifest(ctx context.Context, signed *schema.SignedManifest, fetch chunkFetcher) error {
+	s.fetchMu.Lock()
+	defer s.fetchMu.Unlock()
 	m, err := bundle.DecodeManifest(signed)
 	if err != nil {
 		return err
 	}
-	if in, _ := s.Versions(); m.Version <= in {
-		return s.checkSame(m.Version, in, signed)
+	if inForce, _ := s.Versions(); m.Version <= inForce {
+		return s.checkVersionConflict(m.Version, inForce, signed)
 	}
 	if err := s.cfg.Trust.Verify(signed); err != nil {
 		return errors.Wrapf(err, "bundle %d", m.Version)
 	}
-	chunks, err := s.gather(ctx, m, get)
+	chunks, err := s.collectChunks(ctx, m, fetch)
 	if err != nil {
 		return errors.Wrapf(err, "bundle %d", m.Version)
 	}
@@ -34,35 +35,38 @@
 	if err != nil {
 		return errors.Wrapf(err, "bundle %d", m.Version)
 	}
-	// The version is named to others only once this VM decides by it.
+	// OnBundle is called before the version changes, so that this VM reports a
+	// version to peers only after its decisions are based on it.
 	s.cfg.OnBundle(m, b)
 	s.mu.Lock()
-	s.gate.Accept(m.Version)
+	s.tracker.Accept(m.Version)
 	s.manifest, s.chunks = signed, chunks
 	s.mu.Unlock()
-	s.tell(ctx)
+	s.notifyPeers(ctx)
 	return nil
 }
 
-// checkSame reports two different bundles that were given the same version.
-func (s *Sync) checkSame(version, inForce uint64, signed *schema.SignedManifest) error {
+// checkVersionConflict returns an error if a manifest has the version in force but
+// different content.
+func (s *Sync) checkVersionConflict(version, inForce uint64, signed *schema.SignedManifest) error {
 	if version != inForce || bytes.Equal(signed.Manifest, s.Manifest().GetManifest()) {
 		return nil
 	}
 	return errors.Newf("bundle %d: another bundle with this version is in force", version)
 }
 
-// chunkSource fetches a chunk by its hash.
-type chunkSource func(ctx context.Context, hash []byte) ([]byte, error)
+// chunkFetcher fetches a chunk by its hash from one source.
+type chunkFetcher func(ctx context.Context, hash []byte) ([]byte, error)
 
-// gather returns the chunks of a manifest, fetching those that are not held.
-func (s *Sync) gather(ctx context.Context, m *schema.Manifest, get chunkSource) (bundle.Chunks, error) {
+// collectChunks returns the chunks of a manifest. It fetches those that are not in
+// the bundle in force.
+func (s *Sync) collectChunks(ctx context.Context, m *schema.Manifest, fetch chunkFetcher) (bundle.Chunks, error) {
 	out := bundle.Chunks{}
 	for _, hash := range m.Chunks {
 		data, ok := s.Chunk(hash)
 		if !ok {
 			var err error
-			if data, err = s.fetchChunk(ctx, hash, get); err != nil {
+			if data, err = s.fetchChunk(ctx, hash, fetch); err != nil {
 				return nil, err
 			}
 		}
@@ -71,9 +75,10 @@
 	return out, nil
 }
 
-// fetchChunk asks the given source, and then the platform.
-func (s *Sync) fetchChunk(ctx context.Context, hash []byte, get chunkSource) ([]byte, error) {
-	data, err := get(ctx, hash)
+// fetchChunk fetches a chunk from the given source, or from the platform if the
+// source fails or returns data with a different hash.
+func (s *Sync) fetchChunk(ctx context.Context, hash []byte, fetch chunkFetcher) ([]byte, error) {
+	data, err := fetch(ctx, hash)
 	if err == nil && bundle.CheckChunk(hash, data) == nil {
 		return data, nil
 	}
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -1,13 +1,14 @@
-// Package confsync keeps the bundle and the VM list current. Both only move up
-// in version.
+// Package confsync keeps the bundle and the VM list up to date. Their versions
+// never decrease.
 //
-// Few VMs read the platform: two watchers in each hall. What a watcher learns it
-// tells at once to the VMs of its hall and to one VM of each other hall; besides,
-// every VM compares versions with another one, chosen at random, each second.
-// The side that is behind fetches from the side that is ahead. When the platform
-// cannot be read, a version that any VM has seen still spreads to all. Other VMs
-// read the platform rarely, at random times, in case they are cut off from every
-// watcher. docs/design/configuration.md weighs this against polling.
+// Only two VMs of each availability zone, the watchers, read the platform
+// continuously. A watcher notifies the VMs of its zone and one VM of each other
+// zone of a new version immediately. In addition, each VM compares versions with
+// a random peer once a second, and the VM with the older version fetches the newer
+// one. A version that reached any VM therefore spreads to all VMs even if the
+// platform cannot be read. VMs that are not watchers read the platform rarely and
+// at random times, in case they are disconnected from all watchers.
+// docs/design/configuration.md compares this with polling.
 package confsync
 
 import (
@@ -29,23 +30,23 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Peers is what confsync needs of the other VMs.
+// Peers sends calls to other VMs.
 type Peers interface {
 	Call(ctx context.Context, vm coord.VMID, c *schema.Call) (*schema.Reply, error)
 	CallAddress(ctx context.Context, address string, c *schema.Call) (*schema.Reply, error)
 }
 
-// Membership is what confsync needs of the membership view.
+// Membership is the part of the membership view that confsync uses.
 type Membership interface {
 	// Others returns the other listed VMs.
 	Others() []coord.VMID
-	// IsWatcher reports whether this VM reads the platform for its hall.
+	// IsWatcher reports whether this VM reads the platform for its zone.
 	IsWatcher() bool
-	// PeersToNotify returns the VMs to tell of a new version at once.
+	// PeersToNotify returns the VMs to notify of a new version immediately.
 	PeersToNotify() []coord.VMID
 }
 
-// Config holds what a Sync works with.
+// Config holds the dependencies and settings of a Sync.
 type Config struct {
 	Platform interface {
 		platform.ConfigService
@@ -58,27 +59,28 @@
 	Watch    time.Duration
 	Seed     uint64
 	Log      log.Interface
-	// OnBundle is called with each bundle that comes into force.
+	// OnBundle is called with each new bundle before its version is reported to
+	// peers.
 	OnBundle func(m *schema.Manifest, b *schema.Bundle)
 	// OnList is called with each newer VM list.
 	OnList func(l *schema.VMList)
-	// OnRejected is called for each manifest that was not accepted.
+	// OnRejected is called with the error for each manifest that was rejected.
 	OnRejected func(err error)
 	// Heartbeat returns this VM's heartbeat.
 	Heartbeat func() *schema.Heartbeat
 }
 
-// Sync holds the newest bundle and list of one VM. Lock order: fetch, then mu.
-// Neither is held while a callback or a peer is called, but for fetch, which
-// makes fetches of bundles one at a time.
+// Sync holds the newest bundle and VM list of one VM. Lock order: fetchMu, then mu.
+// mu is never held during a callback or a call to a peer. fetchMu is held during
+// them, because it serializes the fetches of bundles.
 type Sync struct {
-	cfg    Config
-	roster Membership
+	cfg        Config
+	membership Membership
 
-	fetch sync.Mutex
+	fetchMu sync.Mutex
 
 	mu       sync.Mutex
-	gate     confver.Tracker
+	tracker  confver.Tracker
 	manifest *schema.SignedManifest
 	chunks   bundle.Chunks
 	list     *schema.VMList
@@ -86,24 +88,25 @@
 	pulls    chan coord.VMID
 }
 
-// pullQueue bounds the pulls that wait; a lost one is made up by the next
-// comparison.
-const pullQueue = 16
+// pullQueueSize bounds the queue of pulls. A pull that does not fit is dropped; the
+// next version comparison requests it again.
+const pullQueueSize = 16
 
-// New returns a Sync that holds nothing.
-func New(cfg Config, roster Membership) *Sync {
+// New returns a Sync without a bundle and with an empty VM list.
+func New(cfg Config, membership Membership) *Sync {
 	return &Sync{
-		cfg: cfg, roster: roster, chunks: bundle.Chunks{}, list: &schema.VMList{},
+		cfg: cfg, membership: membership, chunks: bundle.Chunks{}, list: &schema.VMList{},
 		rng:   rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		pulls: make(chan coord.VMID, pullQueue),
+		pulls: make(chan coord.VMID, pullQueueSize),
 	}
 }
 
-// Versions returns the versions in force.
+// Versions returns the versions of the bundle and the VM list in force. They are
+// zero before the first one was applied.
 func (s *Sync) Versions() (bundleVersion, listVersion uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gate.InForce(), s.list.GetVersion()
+	return s.tracker.InForce(), s.list.GetVersion()
 }
 
 // Manifest returns the newest signed manifest, or nil.
@@ -113,7 +116,7 @@
 	return s.manifest
 }
 
-// Chunk returns a chunk of the bundle in force.
+// Chunk returns the chunk of the bundle in force that has the given hash.
 func (s *Sync) Chunk(hash []byte) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,16 +124,16 @@
 	return data, ok
 }
 
-// List returns the newest VM list.
+// List returns the newest VM list. It is never nil.
 func (s *Sync) List() *schema.VMList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list
 }
 
-// Run keeps both current until the context ends.
+// Run keeps the bundle and the VM list up to date until the context ends.
 func (s *Sync) Run(ctx context.Context) {
-	s.start(ctx)
+	s.bootstrap(ctx)
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){s.watchLoop, s.listLoop, s.compareLoop, s.pullLoop} {
 		wg.Go(func() { loop(ctx) })
@@ -138,18 +141,18 @@
 	wg.Wait()
 }
 
-// startAsk bounds how many peers a starting VM asks before it reads the
-// platform, which may be stale.
-const startAsk = 5
+// maxStartupPulls bounds the peers that a starting VM pulls from before it reads
+// the manifest from the platform, which may be stale.
+const maxStartupPulls = 5
 
-func (s *Sync) start(ctx context.Context) {
+func (s *Sync) bootstrap(ctx context.Context) {
 	s.readList(ctx)
 	for _, seed := range s.cfg.Seeds {
-		s.listFromSeed(ctx, seed)
+		s.pullListFromSeed(ctx, seed)
 	}
-	others := s.roster.Others()
+	others := s.membership.Others()
 	s.shuffle(others)
-	for _, vm := range others[:min(startAsk, len(others))] {
+	for _, vm := range others[:min(maxStartupPulls, len(others))] {
 		s.pull(ctx, vm)
 	}
 }
@@ -160,68 +163,70 @@
 	s.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 }
 
-// jitter returns a random time between d and 2d.
+// jitter returns a random duration in [d, 2d).
 func (s *Sync) jitter(d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return d + time.Duration(s.rng.Int64N(int64(d)))
 }
 
-// Pauses of the loops.
+// Intervals and timeouts of the loops. A loop with a minimum waits for a random
+// time between that minimum and twice that.
 const (
-	// idleRead is the least time between two reads of the platform by a VM
-	// that is not a watcher.
-	idleRead = 20 * time.Second
-	// retryRead is the least time between two tries while nothing is in force
-	// or the platform cannot be read.
-	retryRead = time.Second
-	// refusedRead is the least time before a manifest that was refused is read
+	// minIdleReadInterval is the minimum time between two reads of the platform by a
+	// VM that is not a watcher.
+	minIdleReadInterval = 20 * time.Second
+	// minReadRetryDelay is the minimum delay before the platform is read again after
+	// a failed read, also while no bundle is in force.
+	minReadRetryDelay = time.Second
+	// minRejectedRetryDelay is the minimum delay before a rejected manifest is read
 	// again.
-	refusedRead = 2 * time.Second
-	// compareEvery is the time between two comparisons with a random VM.
-	compareEvery = time.Second
-	// peerTimeout bounds one call to a peer.
+	minRejectedRetryDelay = 2 * time.Second
+	// compareInterval is the time between two version comparisons with a random VM.
+	compareInterval = time.Second
+	// peerTimeout is the deadline of one call to a peer.
 	peerTimeout = 3 * time.Second
 )
 
-// watchLoop reads the manifest: by a waiting watch when this VM is a watcher,
-// else now and then.
+// watchLoop reads the manifest from the platform: with a watch if this VM is a
+// watcher, otherwise at random intervals.
 func (s *Sync) watchLoop(ctx context.Context) {
 	revision := uint64(0)
 	for ctx.Err() == nil {
 		value, err := s.readManifest(ctx, revision)
 		if err != nil {
 			s.cfg.Log.WithError(err).Debug("manifest_unreadable")
-			wait.Sleep(ctx, s.jitter(retryRead))
+			wait.Sleep(ctx, s.jitter(minReadRetryDelay))
 			continue
 		}
 		revision = value.Revision
-		if err := s.takeValue(ctx, value); err != nil {
-			// Its chunks may only be late: read it again, watched or not.
+		if err := s.applyValue(ctx, value); err != nil {
+			// The chunks may not be published yet. Resetting the revision reads the
+			// same manifest again instead of watching for the next one.
 			s.cfg.OnRejected(err)
 			revision = 0
-			wait.Sleep(ctx, s.jitter(refusedRead))
+			wait.Sleep(ctx, s.jitter(minRejectedRetryDelay))
 			continue
 		}
-		if in, _ := s.Versions(); !s.roster.IsWatcher() && in > 0 {
-			wait.Sleep(ctx, s.jitter(idleRead))
+		if inForce, _ := s.Versions(); !s.membership.IsWatcher() && inForce > 0 {
+			wait.Sleep(ctx, s.jitter(minIdleReadInterval))
 		}
 	}
 }
 
 func (s *Sync) readManifest(ctx context.Context, revision uint64) (platform.Value, error) {
-	if s.roster.IsWatcher() && revision > 0 {
+	if s.membership.IsWatcher() && revision > 0 {
 		return s.cfg.Platform.Watch(ctx, bundle.ManifestKey, revision, s.cfg.Watch)
 	}
 	return s.cfg.Platform.Get(ctx, bundle.ManifestKey)
 }
 
-func (s *Sync) takeValue(ctx context.Context, value platform.Value) error {
+func (s *Sync) applyValue(ctx context.Context, value platform.Value) error {
 	signed := &schema.SignedManifest{}
 	if err := proto.Unmarshal(value.Data, signed); err != nil {
 		return errors.Wrap(err, "decode signed manifest")
 	}
-	return s.adopt(ctx, signed, s.chunkFromPlatform)
+	return s.applyManifest(ctx, signed, s.chunkFromPlatform)
 }
 
 func (s *Sync) chunkFromPlatform(ctx context.Context, hash []byte) ([]byte, error) {
--- a/internal/confsync/lists.go
+++ b/internal/confsync/lists.go
@@ -7,8 +7,9 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// takeList puts a list in force if it is newer.
-func (s *Sync) takeList(ctx context.Context, l *schema.VMList) {
+// applyList applies a VM list if it is newer than the current one, and notifies
+// peers.
+func (s *Sync) applyList(ctx context.Context, l *schema.VMList) {
 	s.mu.Lock()
 	newer := l.GetVersion() > s.list.GetVersion()
 	if newer {
@@ -17,7 +18,7 @@
 	s.mu.Unlock()
 	if newer {
 		s.cfg.OnList(l)
-		s.tell(ctx)
+		s.notifyPeers(ctx)
 	}
 }
 
@@ -27,27 +28,28 @@
 		s.cfg.Log.WithError(err).Debug("vm_list_unreadable")
 		return
 	}
-	s.takeList(ctx, l)
+	s.applyList(ctx, l)
 }
 
-// listLoop reads the VM list: often as a watcher, else now and then.
+// listLoop reads the VM list from the platform: every ListPoll if this VM is a
+// watcher or has no list yet, otherwise at random intervals.
 func (s *Sync) listLoop(ctx context.Context) {
 	for {
-		pause := s.cfg.ListPoll
-		if _, version := s.Versions(); version > 0 && !s.roster.IsWatcher() {
-			pause = s.jitter(idleRead)
+		delay := s.cfg.ListPoll
+		if _, version := s.Versions(); version > 0 && !s.membership.IsWatcher() {
+			delay = s.jitter(minIdleReadInterval)
 		}
-		if !wait.Sleep(ctx, pause) {
+		if !wait.Sleep(ctx, delay) {
 			return
 		}
 		s.readList(ctx)
 	}
 }
 
-// compareLoop compares versions with a random VM.
+// compareLoop compares versions with a random VM every compareInterval.
 func (s *Sync) compareLoop(ctx context.Context) {
-	for wait.Sleep(ctx, compareEvery) {
-		others := s.roster.Others()
+	for wait.Sleep(ctx, compareInterval) {
+		others := s.membership.Others()
 		if len(others) == 0 {
 			continue
 		}
--- a/internal/confsync/peers.go
+++ b/internal/confsync/peers.go
@@ -7,14 +7,15 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// tell sends the new versions to those who should know at once.
-func (s *Sync) tell(ctx context.Context) {
-	for _, vm := range s.roster.PeersToNotify() {
+// notifyPeers sends the versions in force to the VMs that are notified
+// immediately. It does not wait for their replies.
+func (s *Sync) notifyPeers(ctx context.Context) {
+	for _, vm := range s.membership.PeersToNotify() {
 		go s.compare(ctx, vm)
 	}
 }
 
-// compare exchanges versions with a VM.
+// compare exchanges versions with a VM and pulls from it if it is ahead.
 func (s *Sync) compare(ctx context.Context, vm coord.VMID) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -25,10 +26,11 @@
 	s.ObserveVersions(vm, reply.BundleVersion, reply.ListVersion)
 }
 
-// ObserveVersions takes the versions that another VM named and catches up if behind.
+// ObserveVersions handles the versions that another VM reported. If one is newer
+// than the local version, it queues a pull from that VM.
 func (s *Sync) ObserveVersions(vm coord.VMID, bundleVersion, listVersion uint64) {
 	s.mu.Lock()
-	behind := s.gate.Behind(bundleVersion) || listVersion > s.list.GetVersion()
+	behind := s.tracker.Behind(bundleVersion) || listVersion > s.list.GetVersion()
 	s.mu.Unlock()
 	if !behind {
 		return
@@ -50,7 +52,7 @@
 	}
 }
 
-// pull fetches from a VM what it has newer.
+// pull fetches the VM list and the bundle of a VM and applies those that are newer.
 func (s *Sync) pull(ctx context.Context, vm coord.VMID) {
 	s.PullList(ctx, vm)
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
@@ -59,12 +61,12 @@
 	if err != nil || reply.GetManifest() == nil {
 		return
 	}
-	if err := s.adopt(ctx, reply.GetManifest(), s.chunkFromVM(vm)); err != nil {
+	if err := s.applyManifest(ctx, reply.GetManifest(), s.chunkFromVM(vm)); err != nil {
 		s.cfg.OnRejected(err)
 	}
 }
 
-func (s *Sync) chunkFromVM(vm coord.VMID) chunkSource {
+func (s *Sync) chunkFromVM(vm coord.VMID) chunkFetcher {
 	return func(ctx context.Context, hash []byte) ([]byte, error) {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		defer cancel()
@@ -76,25 +78,25 @@
 	}
 }
 
-// PullList fetches a VM's list if it is newer.
+// PullList fetches the VM list of a VM and applies it if it is newer.
 func (s *Sync) PullList(ctx context.Context, vm coord.VMID) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	reply, err := s.cfg.Peers.Call(ctx, vm, listCall())
+	reply, err := s.cfg.Peers.Call(ctx, vm, newListCall())
 	if err == nil {
-		s.takeList(ctx, reply.GetList())
+		s.applyList(ctx, reply.GetList())
 	}
 }
 
-func listCall() *schema.Call {
+func newListCall() *schema.Call {
 	return &schema.Call{Body: &schema.Call_List{List: &schema.ListRequest{}}}
 }
 
-func (s *Sync) listFromSeed(ctx context.Context, address string) {
+func (s *Sync) pullListFromSeed(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	reply, err := s.cfg.Peers.CallAddress(ctx, address, listCall())
+	reply, err := s.cfg.Peers.CallAddress(ctx, address, newListCall())
 	if err == nil {
-		s.takeList(ctx, reply.GetList())
+		s.applyList(ctx, reply.GetList())
 	}
 }
--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -1,5 +1,5 @@
-// Package findings collects what is wrong with a file or an input, each with
-// its place, so that all of it is reported at once.
+// Package findings collects the problems of a file or other input with their
+// positions, so that all of them are reported at once.
 package findings
 
 import (
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// Position says where a finding is. Empty parts are left out when printed.
+// Position is the location of a finding. Empty parts are omitted when it is
+// printed.
 type Position struct {
 	File    string `json:"file,omitempty"`
 	Line    int    `json:"line,omitempty"`
@@ -16,7 +17,7 @@
 	Key     string `json:"key,omitempty"`
 }
 
-// WithKey returns p narrowed to a key on a line.
+// WithKey returns p with the given key. If line is positive, it replaces the line.
 func (p Position) WithKey(key string, line int) Position {
 	p.Key = key
 	if line > 0 {
@@ -25,7 +26,7 @@
 	return p
 }
 
-// String gives file:line: [section] key.
+// String formats the position as file:line: [section] key.
 func (p Position) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -44,13 +45,13 @@
 	return b.String()
 }
 
-// Finding is one thing that is wrong.
+// Finding is one problem of an input.
 type Finding struct {
 	Position Position `json:"place"`
 	Text     string   `json:"text"`
 }
 
-// String gives the place and the text on one line.
+// String returns the position and the text on one line.
 func (f Finding) String() string { return f.Position.String() + ": " + f.Text }
 
 // List collects findings.
@@ -58,12 +59,12 @@
 	items []Finding
 }
 
-// Add appends a finding.
+// Add appends a finding with a formatted text.
 func (l *List) Add(p Position, format string, args ...any) {
 	l.items = append(l.items, Finding{Position: p, Text: fmt.Sprintf(format, args...)})
 }
 
-// Items returns the findings in order of file and line.
+// Items returns the findings, sorted by file and line.
 func (l *List) Items() []Finding {
 	sort.SliceStable(l.items, func(i, j int) bool {
 		a, b := l.items[i].Position, l.items[j].Position
@@ -75,7 +76,7 @@
 	return l.items
 }
 
-// Err returns nil when nothing was found, else an *Error.
+// Err returns an *Error with all findings, or nil if there are none.
 func (l *List) Err() error {
 	if len(l.items) == 0 {
 		return nil
@@ -83,12 +84,12 @@
 	return &Error{Findings: l.Items()}
 }
 
-// Error is a set of findings as one error.
+// Error is an error that consists of findings.
 type Error struct {
 	Findings []Finding
 }
 
-// Error gives one finding a line.
+// Error returns the findings, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, f := range e.Findings {
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -10,19 +10,20 @@
 	"github.com/junctionfold/junctionfold/internal/findings"
 )
 
-// Decode sets the fields of a message from the keys of a section. A key names a
-// field; an unknown one becomes a finding with the nearest known key.
+// Decode sets the fields of a message from the keys of a section, which are field
+// names. It adds a finding for each invalid value and for each unknown key, with
+// the most similar known key.
 func Decode(s *Section, into protoreflect.Message, fs *findings.List) {
 	fields := into.Descriptor().Fields()
 	for _, k := range s.Keys {
-		place := s.Position.WithKey(k.Name, k.Line)
+		position := s.Position.WithKey(k.Name, k.Line)
 		f := fields.ByName(protoreflect.Name(k.Name))
 		if f == nil {
-			fs.Add(place, "unknown key%s", Suggest(k.Name, fieldNames(fields)))
+			fs.Add(position, "unknown key%s", Suggest(k.Name, fieldNames(fields)))
 			continue
 		}
-		if err := set(into, f, k.Value); err != "" {
-			fs.Add(place, "%s", err)
+		if problem := setField(into, f, k.Value); problem != "" {
+			fs.Add(position, "%s", problem)
 		}
 	}
 }
@@ -35,15 +36,15 @@
 	return out
 }
 
-// maxSuggestDistance is how far a suggestion may be from what was written.
+// maxSuggestDistance is the maximum Levenshtein distance of a suggestion.
 const maxSuggestDistance = 4
 
-// Suggest returns `; did you mean "x"?` for the known name nearest to the
-// written one, or nothing when none is near.
-func Suggest(written string, known []string) string {
+// Suggest returns `; did you mean "x"?` for the known name that is most similar to
+// name, or an empty string if none is similar.
+func Suggest(name string, known []string) string {
 	best, distance := "", maxSuggestDistance+1
 	for _, k := range known {
-		if d := levenshtein.ComputeDistance(written, k); d < distance {
+		if d := levenshtein.ComputeDistance(name, k); d < distance {
 			best, distance = k, d
 		}
 	}
@@ -53,12 +54,13 @@
 	return `; did you mean "` + best + `"?`
 }
 
-// set puts a value into a field. It returns what is wrong, or "".
-func set(m protoreflect.Message, f protoreflect.FieldDescriptor, text string) string {
+// setField parses text and sets a field to its value. It returns a description of
+// the problem, or "".
+func setField(m protoreflect.Message, f protoreflect.FieldDescriptor, text string) string {
 	if f.IsList() {
 		return setList(m, f, text)
 	}
-	v, problem := value(f, text)
+	v, problem := parseValue(f, text)
 	if problem != "" {
 		return problem
 	}
@@ -73,7 +75,7 @@
 		if part == "" {
 			continue
 		}
-		v, problem := value(f, part)
+		v, problem := parseValue(f, part)
 		if problem != "" {
 			return problem
 		}
@@ -82,12 +84,12 @@
 	return ""
 }
 
-func value(f protoreflect.FieldDescriptor, text string) (protoreflect.Value, string) {
+func parseValue(f protoreflect.FieldDescriptor, text string) (protoreflect.Value, string) {
 	switch f.Kind() {
 	case protoreflect.StringKind:
 		return protoreflect.ValueOfString(text), ""
 	case protoreflect.BoolKind:
-		return boolValue(text)
+		return parseBool(text)
 	case protoreflect.Int32Kind:
 		n, err := strconv.ParseInt(text, 10, 32)
 		return protoreflect.ValueOfInt32(int32(n)), numberProblem(text, err)
@@ -98,7 +100,7 @@
 		x, err := strconv.ParseFloat(text, 64)
 		return protoreflect.ValueOfFloat64(x), numberProblem(text, err)
 	case protoreflect.EnumKind:
-		return enumValue(f.Enum(), text)
+		return parseEnum(f.Enum(), text)
 	}
 	return protoreflect.Value{}, "cannot be set in a file"
 }
@@ -110,7 +112,7 @@
 	return strconv.Quote(text) + " is not a number in range"
 }
 
-func boolValue(text string) (protoreflect.Value, string) {
+func parseBool(text string) (protoreflect.Value, string) {
 	switch strings.ToLower(text) {
 	case "yes", "true", "on", "1":
 		return protoreflect.ValueOfBool(true), ""
@@ -120,9 +122,9 @@
 	return protoreflect.Value{}, strconv.Quote(text) + " is neither yes nor no"
 }
 
-// enumValue takes the end of a value's name in lower case: FENCING_REFUSES is
-// written "refuses".
-func enumValue(e protoreflect.EnumDescriptor, text string) (protoreflect.Value, string) {
+// parseEnum parses the last word of an enum value's name in lower case, such as
+// "refuses" for FENCING_REFUSES.
+func parseEnum(e protoreflect.EnumDescriptor, text string) (protoreflect.Value, string) {
 	var known []string
 	for i := 1; i < e.Values().Len(); i++ {
 		v := e.Values().Get(i)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,9 +1,10 @@
-// Package limits bounds the rate of requests per caller, adapter and service.
+// Package limits bounds the rate of requests per caller, adapter and service, and
+// the rate of retries.
 //
-// VMs share nothing: each allows its part, the limit divided by the live VMs it
-// sees. With an even balancer the fleet allows the limit. In a partition into k
-// parts each part sees fewer VMs and the fleet allows up to k times the limit; it
-// never allows more than the limit times the number of parts.
+// VMs share no state: each VM allows the limit divided by the number of live VMs
+// that it sees. If the load balancer distributes requests evenly, the fleet allows
+// the limit. During a network partition into k parts, each part sees fewer VMs and
+// the fleet allows up to k times the limit, but never more.
 package limits
 
 import (
@@ -14,37 +15,40 @@
 	"golang.org/x/time/rate"
 )
 
-// maxKeys bounds the limiters that are kept; the least used is forgotten first.
-const maxKeys = 16384
+// maxBuckets bounds the number of token buckets. The least recently used one is
+// evicted first.
+const maxBuckets = 16384
 
-// burstTime is how much of the rate may come at once.
-const burstTime = 1.0
+// burstSeconds is the size of a token bucket in seconds of its rate.
+const burstSeconds = 1.0
 
-// Limiter holds one bucket per key.
+// Limiter holds one token bucket per key. It is safe for concurrent use.
 type Limiter struct {
-	mu   sync.Mutex
-	vms  int
-	keys *lru.Cache[string, *rate.Limiter]
+	mu      sync.Mutex
+	vms     int
+	buckets *lru.Cache[string, *rate.Limiter]
 }
 
-// New returns a Limiter that divides by one VM.
+// New returns a Limiter for a fleet of one VM.
 func New() *Limiter {
-	keys, err := lru.New[string, *rate.Limiter](maxKeys)
+	buckets, err := lru.New[string, *rate.Limiter](maxBuckets)
 	if err != nil {
-		panic(err) // maxKeys is above zero
+		panic(err) // unreachable: lru.New fails only if maxBuckets is not positive
 	}
-	return &Limiter{vms: 1, keys: keys}
+	return &Limiter{vms: 1, buckets: buckets}
 }
 
-// SetVMs sets how many live VMs share each limit.
+// SetVMs sets the number of live VMs that share each limit. Values below one count
+// as one.
 func (l *Limiter) SetVMs(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.vms = max(n, 1)
 }
 
-// Allow takes one request of a key whose limit is perSecond over the fleet. Zero
-// means no limit. When it refuses, retry is when a request may pass.
+// Allow reports whether a request of a key is within the fleet-wide limit of
+// perSecond requests per second. Zero means no limit. If the request is rejected,
+// retry is the delay after which a request can be allowed.
 func (l *Limiter) Allow(now time.Time, key string, perSecond float64) (ok bool, retry time.Duration) {
 	if perSecond <= 0 {
 		return true, 0
@@ -52,14 +56,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	share := perSecond / float64(l.vms)
-	bucket, found := l.keys.Get(key)
+	bucket, found := l.buckets.Get(key)
 	if !found {
-		bucket = rate.NewLimiter(rate.Limit(share), burst(share))
-		l.keys.Add(key, bucket)
+		bucket = rate.NewLimiter(rate.Limit(share), burstSize(share))
+		l.buckets.Add(key, bucket)
 	}
 	if bucket.Limit() != rate.Limit(share) {
 		bucket.SetLimitAt(now, rate.Limit(share))
-		bucket.SetBurstAt(now, burst(share))
+		bucket.SetBurstAt(now, burstSize(share))
 	}
 	if bucket.AllowN(now, 1) {
 		return true, 0
@@ -67,39 +71,42 @@
 	return false, time.Duration(float64(time.Second) / share)
 }
 
-func burst(share float64) int { return max(1, int(share*burstTime)) }
+func burstSize(share float64) int { return max(1, int(share*burstSeconds)) }
 
-// RetryBudget allows retries as a share of first attempts, so that a fault does
-// not turn into a storm of them.
+// RetryBudget limits retries to a share of first attempts, so that a fault does not
+// cause a retry storm. It is safe for concurrent use.
 type RetryBudget struct {
 	mu     sync.Mutex
 	share  float64
 	credit float64
 }
 
-// reserve is how many retries may be made on credit, after quiet times.
-const reserve = 10
+// maxRetryCredit is the initial and the maximum credit in retries. It allows a
+// burst of retries after a period with few retries.
+const maxRetryCredit = 10
 
-// NewRetryBudget returns a full budget.
+// NewRetryBudget returns a RetryBudget with full credit that allows share retries
+// per first attempt.
 func NewRetryBudget(share float64) *RetryBudget {
-	return &RetryBudget{share: share, credit: reserve}
+	return &RetryBudget{share: share, credit: maxRetryCredit}
 }
 
-// SetShare sets the retries allowed for each first attempt.
+// SetShare sets the number of retries allowed per first attempt.
 func (b *RetryBudget) SetShare(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.share = share
 }
 
-// Deposit counts a first attempt.
+// Deposit records a first attempt, which adds share to the credit.
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.credit = min(b.credit+b.share, reserve)
+	b.credit = min(b.credit+b.share, maxRetryCredit)
 }
 
-// TryWithdraw takes one retry from the budget; false means that there is none.
+// TryWithdraw reports whether a retry is allowed, and deducts it from the credit if
+// so.
 func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,4 @@
-// Package logging sets up event logs: one line of key=value pairs for each
-// event.
+// Package logging sets up event logs with one line of key=value pairs per event.
 package logging
 
 import (
@@ -11,7 +10,8 @@
 	"github.com/apex/log/handlers/logfmt"
 )
 
-// New returns a logger that writes to w and puts the VM's id on every line.
+// New returns a logger that writes to w and adds the VM's id to each line. An
+// invalid level falls back to info.
 func New(w io.Writer, level, vm string) log.Interface {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -23,8 +23,9 @@
 	return l.WithField("vm", vm)
 }
 
-// lineHandler writes each event with one Write. The library's handler writes a
-// line in pieces, and the lines of several VMs that share a writer would mix.
+// lineHandler writes each event with a single Write. The handler of the library
+// writes a line in several parts, which would interleave the lines of VMs that
+// share a writer.
 type lineHandler struct {
 	mu     sync.Mutex
 	line   bytes.Buffer
@@ -32,7 +33,7 @@
 	w      io.Writer
 }
 
-// HandleLog writes one event.
+// HandleLog formats one event and writes it with a single Write.
 func (h *lineHandler) HandleLog(e *log.Entry) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,22 +8,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// lines is a writer that keeps what each Write gave.
-type lines struct {
-	mu  sync.Mutex
-	all []string
+// recordingWriter records the data of each Write separately.
+type recordingWriter struct {
+	mu     sync.Mutex
+	writes []string
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *recordingWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, string(p))
+	l.writes = append(l.writes, string(p))
 	return len(p), nil
 }
 
-// TestLinesStayWhole logs from two VMs that share a writer.
-func TestLinesStayWhole(t *testing.T) {
-	out := &lines{}
+// TestConcurrentLinesAreNotInterleaved logs concurrently from two VMs that share a
+// writer and expects each event to be one complete line.
+func TestConcurrentLinesAreNotInterleaved(t *testing.T) {
+	out := &recordingWriter{}
 	var wg sync.WaitGroup
 	for _, vm := range []string{"a", "b"} {
 		l := New(out, "info", vm)
@@ -32,8 +33,8 @@
 		}
 	}
 	wg.Wait()
-	assert.Equal(t, len(out.all), 100)
-	for _, line := range out.all {
+	assert.Equal(t, len(out.writes), 100)
+	for _, line := range out.writes {
 		assert.Assert(t, strings.HasSuffix(line, "\n") && strings.Count(line, "\n") == 1, "%q", line)
 		assert.Assert(t, strings.Contains(line, `message=event detail="two words" vm=`), "%q", line)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a VM does, by expvar. Names and units are listed
-// in docs/operators/metrics.md.
+// Package metrics holds the expvar metrics of a VM. docs/operators/metrics.md lists
+// their names and units.
 package metrics
 
 import (
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Set is the metrics of one VM. A process with several VMs has several.
+// Set holds the metrics of one VM. A process that runs several VMs has one Set for
+// each.
 type Set struct {
 	Map *expvar.Map
 
@@ -32,7 +33,7 @@
 	BundlesRefused    *expvar.Int
 }
 
-// New returns a fresh Set.
+// New returns a Set in which all metrics are zero.
 func New() *Set {
 	s := &Set{Map: new(expvar.Map).Init(), Refusals: new(expvar.Map).Init()}
 	for name, v := range map[string]**expvar.Int{
@@ -53,10 +54,10 @@
 	return s
 }
 
-// Gauge publishes a value that is read when asked for.
+// Gauge publishes a metric whose value is computed by f on each read.
 func (s *Set) Gauge(name string, f func() int64) {
 	s.Map.Set(name, expvar.Func(func() any { return f() }))
 }
 
-// AddMillis adds a duration to a counter of milliseconds.
+// AddMillis adds a duration to a counter in milliseconds. Fractions are truncated.
 func AddMillis(v *expvar.Int, d time.Duration) { v.Add(d.Milliseconds()) }
--- a/internal/platform/contract_test.go
+++ b/internal/platform/contract_test.go
@@ -15,34 +15,34 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// platformUnderTest is the interfaces' user side and the means to publish. A test
-// of the real services gives its own.
+// platformUnderTest provides the client interfaces and functions to publish values
+// and VM lists. A test against the real services can supply its own.
 type platformUnderTest struct {
 	platform.ConfigService
 	platform.VMLister
-	publish func(key string, value []byte)
-	setVMs  func(...standin.VM)
-	reads   *int
+	publish   func(key string, value []byte)
+	setVMs    func(...standin.VM)
+	readCount *int
 }
 
-func start(t *testing.T) platformUnderTest {
+func startPlatform(t *testing.T) platformUnderTest {
 	t.Helper()
 	p := standin.NewPlatform()
 	s := httptest.NewServer(p)
 	t.Cleanup(s.Close)
-	reads := 0
-	c := platform.NewClient(s.URL, s.URL, http.DefaultTransport, func() { reads++ })
+	readCount := 0
+	c := platform.NewClient(s.URL, s.URL, http.DefaultTransport, func() { readCount++ })
 	return platformUnderTest{
-		ConfigService: c, VMLister: c, reads: &reads,
+		ConfigService: c, VMLister: c, readCount: &readCount,
 		publish: func(key string, value []byte) { p.Publish(map[string][]byte{key: value}) },
 		setVMs:  func(vms ...standin.VM) { p.SetVMs(vms) },
 	}
 }
 
 func TestConfigServiceContract(t *testing.T) {
-	p := start(t)
+	p := startPlatform(t)
 	ctx := t.Context()
-	t.Run("a missing key", func(t *testing.T) {
+	t.Run("missing key", func(t *testing.T) {
 		_, err := p.Get(ctx, "x")
 		assert.Assert(t, errors.Is(err, platform.ErrNotFound), "%v", err)
 	})
@@ -50,17 +50,17 @@
 	first, err := p.Get(ctx, "x")
 	assert.NilError(t, err)
 	assert.Equal(t, string(first.Data), "one")
-	t.Run("a watch of an older revision returns at once", func(t *testing.T) {
+	t.Run("watch of an older revision returns immediately", func(t *testing.T) {
 		v, err := p.Watch(ctx, "x", first.Revision-1, time.Minute)
 		assert.NilError(t, err)
 		assert.Equal(t, v.Revision, first.Revision)
 	})
-	t.Run("a watch without a change returns the same", func(t *testing.T) {
+	t.Run("watch without a change returns the same revision", func(t *testing.T) {
 		v, err := p.Watch(ctx, "x", first.Revision, 20*time.Millisecond)
 		assert.NilError(t, err)
 		assert.Equal(t, v.Revision, first.Revision)
 	})
-	t.Run("a watch returns with a change", func(t *testing.T) {
+	t.Run("watch returns after a change", func(t *testing.T) {
 		done := make(chan platform.Value, 1)
 		go func() {
 			v, _ := p.Watch(ctx, "x", first.Revision, time.Minute)
@@ -71,11 +71,11 @@
 		assert.Equal(t, string(v.Data), "two")
 		assert.Assert(t, v.Revision > first.Revision)
 	})
-	t.Run("every call is counted", func(t *testing.T) { assert.Equal(t, *p.reads, 5) })
+	t.Run("each call is counted", func(t *testing.T) { assert.Equal(t, *p.readCount, 5) })
 }
 
 func TestVMListContract(t *testing.T) {
-	p := start(t)
+	p := startPlatform(t)
 	p.setVMs(standin.VM{ID: "a", Zone: "h", Address: "127.0.0.1:1", State: "live"}, standin.VM{ID: "b", Zone: "h", State: "leaving"})
 	l, err := p.List(t.Context())
 	assert.NilError(t, err)
@@ -89,16 +89,17 @@
 	assert.ErrorContains(t, err, `"sleeping"`)
 }
 
-// TestBadServices gives answers of the services that must not be taken.
-func TestBadServices(t *testing.T) {
+// TestClientRejectsInvalidResponses checks that errors and malformed responses of
+// the configuration service are returned as errors.
+func TestClientRejectsInvalidResponses(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		handler http.HandlerFunc
 		want    string
 	}{
-		{"an error", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, "status 500"},
-		{"no revision", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("x")) }, "no revision"},
-		{"more than a megabyte", func(w http.ResponseWriter, _ *http.Request) {
+		{"error status", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, "status 500"},
+		{"missing revision header", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("x")) }, "no revision"},
+		{"value above the size limit", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(platform.RevisionHeader, "1")
 			_, _ = w.Write(make([]byte, platform.MaxValueBytes+1))
 		}, "too large"},
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform reads what the platform publishes: the configuration
-// service's values and the list of VMs. Nothing is ever written there.
+// Package platform reads the data that the platform publishes: the values of the
+// configuration service and the list of VMs. It is a read-only client.
 package platform
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// ErrNotFound means that a key has no value.
+// ErrNotFound is returned for a key that has no value.
 var ErrNotFound = errors.New("no such key")
 
 // Value is a value of the configuration service with its revision.
@@ -23,23 +23,25 @@
 	Revision uint64
 }
 
-// ConfigService is a configuration service that can be read and watched. Every
-// call counts against the platform's limit; a waiting watch is one call.
+// ConfigService is a configuration service with reads and watches. Each call counts
+// against the platform's rate limit; a watch counts as one call however long it
+// waits.
 type ConfigService interface {
 	// Get returns the value of a key.
 	Get(ctx context.Context, key string) (Value, error)
-	// Watch returns the value of a key once its revision is not after. It
-	// returns the same revision when nothing changed for wait.
+	// Watch waits until the revision of a key differs from after and returns its
+	// value. If the key does not change within wait, it returns the value with the
+	// same revision.
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error)
 }
 
-// VMLister is the platform's list of VMs.
+// VMLister reads the platform's list of VMs.
 type VMLister interface {
-	// List returns the newest list that the platform shows.
+	// List returns the list that the platform currently publishes.
 	List(ctx context.Context) (*schema.VMList, error)
 }
 
-// Paths, parameters and headers of the services.
+// Paths, query parameters and headers of the services.
 const (
 	ValuePath      = "/v1/values/"
 	VMsPath        = "/v1/vms"
@@ -48,31 +50,31 @@
 	RevisionHeader = "X-Revision"
 )
 
-// MaxValueBytes is the service's limit of a value.
+// MaxValueBytes is the configuration service's maximum size of a value.
 const MaxValueBytes = 1 << 20
 
 // Client reads both services over HTTP.
 type Client struct {
 	config *resty.Client
 	list   *resty.Client
-	// Reads is called for each call made.
-	reads func()
+	// onRead is called before each request.
+	onRead func()
 }
 
-// readTimeout bounds a call that does not wait for a change.
+// readTimeout is the deadline of a request, in addition to the wait time of a watch.
 const readTimeout = 2 * time.Second
 
-// NewClient returns a Client of the services at two base URLs. reads is called
-// for each call made.
-func NewClient(configURL, listURL string, transport http.RoundTripper, reads func()) *Client {
+// NewClient returns a Client for the configuration service and the VM list at the
+// given base URLs. onRead is called before each request.
+func NewClient(configURL, listURL string, transport http.RoundTripper, onRead func()) *Client {
 	return &Client{
 		config: resty.New().SetBaseURL(configURL).SetTransport(transport).SetResponseBodyLimit(MaxValueBytes),
 		list:   resty.New().SetBaseURL(listURL).SetTransport(transport).SetResponseBodyLimit(maxListBytes),
-		reads:  reads,
+		onRead: onRead,
 	}
 }
 
-// maxListBytes bounds the VM list.
+// maxListBytes is the maximum size of the response with the VM list.
 const maxListBytes = 8 << 20
 
 // Get returns the value of a key.
@@ -82,7 +84,8 @@
 	return c.read(c.config.R().SetContext(ctx), key)
 }
 
-// Watch returns the value of a key once it has changed, or after wait.
+// Watch returns the value of a key after its revision has changed or wait has
+// passed.
 func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
@@ -93,7 +96,7 @@
 }
 
 func (c *Client) read(req *resty.Request, key string) (Value, error) {
-	c.reads()
+	c.onRead()
 	resp, err := req.Get(ValuePath + key)
 	if err != nil {
 		return Value{}, errors.Wrapf(err, "read %s", key)
@@ -111,11 +114,12 @@
 	return Value{Data: resp.Body(), Revision: revision}, nil
 }
 
-// List returns the published VM list.
+// List returns the published VM list. It returns an error if the list has no
+// version or contains an unknown state.
 func (c *Client) List(ctx context.Context) (*schema.VMList, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	c.reads()
+	c.onRead()
 	out := &vmList{}
 	resp, err := c.list.R().SetContext(ctx).SetResult(out).Get(VMsPath)
 	if err != nil {
@@ -124,29 +128,29 @@
 	if resp.IsError() {
 		return nil, errors.Newf("read VM list: status %d", resp.StatusCode())
 	}
-	return out.message()
+	return out.toMessage()
 }
 
-// vmList is the list as the platform publishes it.
+// vmList is the JSON form of the published VM list.
 type vmList struct {
-	Version uint64   `json:"version"`
-	VMs     []vmLine `json:"vms"`
+	Version uint64    `json:"version"`
+	VMs     []vmEntry `json:"vms"`
 }
 
-type vmLine struct {
+type vmEntry struct {
 	ID      string `json:"id"`
 	Hall    string `json:"hall"`
 	Address string `json:"address"`
 	State   string `json:"state"`
 }
 
-// States of a VM in the published list.
+// States of a VM in the published VM list.
 const (
 	stateLive    = "live"
 	stateLeaving = "leaving"
 )
 
-func (l *vmList) message() (*schema.VMList, error) {
+func (l *vmList) toMessage() (*schema.VMList, error) {
 	if l.Version == 0 {
 		return nil, errors.New("VM list has no version")
 	}
--- a/internal/records/guard.go
+++ b/internal/records/guard.go
@@ -14,20 +14,23 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Run is one guarded run of a keyed request.
+// Run is one attempt to run a request that has an idempotency key.
 type Run struct {
 	Key string
-	// ID names the VM that runs it and tells its tries apart.
-	ID          string
+	// ID identifies the run. It contains the VM that runs it, the incarnation of that
+	// VM's process and a UUID.
+	ID string
+	// Fingerprint is a hash of the request. Reuse of a key with a different
+	// fingerprint is detected as a mismatch.
 	Fingerprint []byte
 	holders     []coord.VMID
 }
 
-// runSeparator stands between the VM and the rest of a run's id.
-const runSeparator = "/"
+// runIDSeparator separates the VM, its incarnation and the UUID in a run id.
+const runIDSeparator = "/"
 
-// NewRun returns a run of a key by this VM. The fingerprint covers what the
-// caller asked for.
+// NewRun returns a new run by this VM for a caller's idempotency key. The
+// fingerprint covers all parts of request.
 func (s *Store) NewRun(caller, key string, request ...[]byte) Run {
 	h := sha256.New()
 	for _, part := range request {
@@ -36,13 +39,14 @@
 	}
 	return Run{
 		Key: caller + "\x00" + key, Fingerprint: h.Sum(nil),
-		ID: string(s.cfg.Self) + runSeparator + strconv.FormatUint(s.cfg.Incarnation, 10) + runSeparator + uuid.NewString(),
+		ID: string(s.cfg.Self) + runIDSeparator + strconv.FormatUint(s.cfg.Incarnation, 10) + runIDSeparator + uuid.NewString(),
 	}
 }
 
-// ParseRunID returns the VM and its incarnation that a run's id names.
+// ParseRunID returns the VM and the incarnation from a run id. For a malformed id
+// it returns zero values.
 func ParseRunID(runID string) (vm coord.VMID, incarnation uint64) {
-	parts := strings.Split(runID, runSeparator)
+	parts := strings.Split(runID, runIDSeparator)
 	if len(parts) < 2 {
 		return "", 0
 	}
@@ -53,12 +57,16 @@
 	return coord.VMID(parts[0]), n
 }
 
-// beginTries is how often Begin asks when lists differ between VMs.
-const beginTries = 3
+// maxBeginAttempts bounds the rounds of voting in Begin while the VM lists of this
+// VM and the holders differ.
+const maxBeginAttempts = 3
 
-// Begin asks the holders to record that the run is about to start.
+// Begin requests the holders of the run's key to record that the run is about to
+// start. It returns the decision of their quorum and the record of an earlier run,
+// if there is one. If the decision is RefuseUnknown and a holder has a newer VM
+// list, it fetches that list and tries again.
 func (s *Store) Begin(ctx context.Context, run *Run) (outcome.Decision, *outcome.Record) {
-	for range beginTries {
+	for range maxBeginAttempts {
 		s.mu.Lock()
 		set := s.history.Current()
 		s.mu.Unlock()
@@ -66,78 +74,80 @@
 			return outcome.RefuseUnknown, nil
 		}
 		run.holders = set.Holders(run.Key)
-		q, behind := s.collect(ctx, run)
+		q, newerListVM := s.collectVotes(ctx, run)
 		d := q.Decide()
-		if behind == "" || d != outcome.RefuseUnknown {
+		if newerListVM == "" || d != outcome.RefuseUnknown {
 			return d, q.Prior()
 		}
-		s.cfg.Lists.PullList(ctx, behind)
+		s.cfg.Lists.PullList(ctx, newerListVM)
 	}
 	return outcome.RefuseUnknown, nil
 }
 
-// vote is one holder's answer with the VM to catch up with, if any.
-type vote struct {
-	vote   outcome.Vote
-	silent bool
-	ahead  coord.VMID
+// holderResponse is the result of requesting a vote from one holder.
+type holderResponse struct {
+	vote       outcome.Vote
+	noResponse bool
+	// newerListVM is the holder if it has a newer VM list, otherwise empty.
+	newerListVM coord.VMID
 }
 
-// collect asks all holders at once. It also returns a VM whose list is newer.
-func (s *Store) collect(ctx context.Context, run *Run) (*outcome.Quorum, coord.VMID) {
-	votes := make(chan vote, len(run.holders))
+// collectVotes requests votes from all holders in parallel. It also returns a
+// holder that has a newer VM list, or an empty id.
+func (s *Store) collectVotes(ctx context.Context, run *Run) (*outcome.Quorum, coord.VMID) {
+	responses := make(chan holderResponse, len(run.holders))
 	for _, vm := range run.holders {
-		go func() { votes <- s.ask(ctx, vm, run) }()
+		go func() { responses <- s.requestVote(ctx, vm, run) }()
 	}
 	q := outcome.NewQuorum(s.cfg.Now(), len(run.holders))
-	var ahead coord.VMID
+	var newerListVM coord.VMID
 	for range run.holders {
-		v := <-votes
-		if v.ahead != "" {
-			ahead = v.ahead
+		resp := <-responses
+		if resp.newerListVM != "" {
+			newerListVM = resp.newerListVM
 		}
-		if v.silent {
+		if resp.noResponse {
 			q.RecordNoResponse()
 		} else {
-			q.RecordVote(s.cfg.Now(), v.vote)
+			q.RecordVote(s.cfg.Now(), resp.vote)
 		}
 	}
-	return q, ahead
+	return q, newerListVM
 }
 
-func (s *Store) ask(ctx context.Context, vm coord.VMID, run *Run) vote {
+func (s *Store) requestVote(ctx context.Context, vm coord.VMID, run *Run) holderResponse {
 	begin := &schema.RecordBegin{Key: run.Key, RunId: run.ID, Fingerprint: run.Fingerprint}
 	if vm == s.cfg.Self {
-		return vote{vote: s.voteOf(s.begin(begin), run.Key)}
+		return holderResponse{vote: s.toVote(s.begin(begin), run.Key)}
 	}
 	reply, err := s.call(ctx, vm, &schema.Call{Body: &schema.Call_RecordBegin{RecordBegin: begin}})
 	if err != nil {
-		v := vote{silent: true}
+		resp := holderResponse{noResponse: true}
 		if strings.Contains(err.Error(), ListStaleMessage) {
-			v.ahead = vm
+			resp.newerListVM = vm
 		}
-		return v
+		return resp
 	}
-	return vote{vote: s.voteOf(reply.GetRecord(), run.Key)}
+	return holderResponse{vote: s.toVote(reply.GetRecord(), run.Key)}
 }
 
-func (s *Store) voteOf(r *schema.RecordState, key string) outcome.Vote {
+func (s *Store) toVote(r *schema.RecordState, key string) outcome.Vote {
 	out := outcome.Vote{Result: outcome.VoteResult(r.GetVerdict()), Authoritative: r.GetCertain()}
 	if r.GetFound() {
-		rec := s.fromMessage(&schema.Record{Key: key, State: r})
+		rec := s.recordFromMessage(&schema.Record{Key: key, State: r})
 		out.Record = &rec
 	}
 	return out
 }
 
-// Finish tells the holders how the run ended. It returns when each has answered
-// or cannot be reached.
+// Finish reports the result of the run to its holders. It returns after each
+// holder has acknowledged the report or could not be reached.
 func (s *Store) Finish(ctx context.Context, run Run, result schema.Outcome, answer *schema.StoredAnswer) {
 	f := &schema.RecordFinish{Key: run.Key, RunId: run.ID, Outcome: result, Answer: answer}
 	done := make(chan struct{}, len(run.holders))
 	for _, vm := range run.holders {
 		go func() {
-			s.tellFinish(ctx, vm, f)
+			s.sendFinish(ctx, vm, f)
 			done <- struct{}{}
 		}()
 	}
@@ -146,20 +156,21 @@
 	}
 }
 
-// finishTries is how often a holder is told the end of a run.
-const finishTries = 2
+// maxFinishAttempts bounds the attempts to report the result of a run to a holder.
+const maxFinishAttempts = 2
 
-func (s *Store) tellFinish(ctx context.Context, vm coord.VMID, f *schema.RecordFinish) {
+func (s *Store) sendFinish(ctx context.Context, vm coord.VMID, f *schema.RecordFinish) {
 	if vm == s.cfg.Self {
 		s.finish(f)
 		return
 	}
-	for range finishTries {
+	for range maxFinishAttempts {
 		if _, err := s.call(ctx, vm, &schema.Call{Body: &schema.Call_RecordFinish{RecordFinish: f}}); err == nil {
 			return
 		}
 	}
 }
 
-// JoinPollInterval is the time between two looks at a run that another try has open.
+// JoinPollInterval is the time between two polls for the result of a run with the
+// same key that is still open.
 const JoinPollInterval = 100 * time.Millisecond
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,8 +1,9 @@
-// Package records keeps keyed requests from running twice: it is a holder of
-// outcome records for other VMs, and asks the holders for the requests that this
-// VM serves. The rules are those of coord/outcome.
+// Package records prevents requests with an idempotency key from running twice. It
+// stores outcome records on behalf of other VMs, and it queries the holders of the
+// records for the requests that this VM serves. The protocol is defined by package
+// coord/outcome.
 //
-// Lock order: Store.mu is taken alone.
+// Lock order: no other lock is acquired while Store.mu is held.
 package records
 
 import (
@@ -19,21 +20,21 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Peers asks other VMs.
+// Peers sends calls to other VMs.
 type Peers interface {
 	Call(ctx context.Context, vm coord.VMID, c *schema.Call) (*schema.Reply, error)
 }
 
-// ListSync catches up with a newer VM list.
+// ListSync fetches newer VM lists and returns the versions in force.
 type ListSync interface {
 	PullList(ctx context.Context, vm coord.VMID)
 	Versions() (bundleVersion, listVersion uint64)
 }
 
-// Config holds what a Store works with.
+// Config holds the dependencies and settings of a Store.
 type Config struct {
 	Self coord.VMID
-	// Incarnation of this process.
+	// Incarnation is the incarnation of this VM's process.
 	Incarnation uint64
 	Limits      outcome.Config
 	Peers       Peers
@@ -41,7 +42,7 @@
 	Now         func() time.Time
 }
 
-// Store is one VM's records.
+// Store holds the outcome records of one VM. It is safe for concurrent use.
 type Store struct {
 	cfg Config
 
@@ -49,21 +50,23 @@
 	table   *outcome.Table
 	history *outcome.History
 	others  []coord.VMID
-	epoch   int
-	asked   map[coord.VMID]bool
+	// generation counts the changes of the set of holders.
+	generation int
+	// answered holds the VMs that have sent their records in the current generation.
+	answered map[coord.VMID]bool
 }
 
 // New returns an empty Store.
 func New(cfg Config) *Store {
 	return &Store{
 		cfg: cfg, table: outcome.NewTable(cfg.Limits),
-		history: outcome.NewHistory(cfg.Self, cfg.Limits.Retention, cfg.Now()),
-		asked:   map[coord.VMID]bool{},
+		history:  outcome.NewHistory(cfg.Self, cfg.Limits.Retention, cfg.Now()),
+		answered: map[coord.VMID]bool{},
 	}
 }
 
-// SetLimits takes the limits of a new bundle. Records keep the expiry they were
-// given.
+// SetLimits applies the limits of a new bundle. Existing records keep their
+// expiry.
 func (s *Store) SetLimits(l outcome.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,13 +74,14 @@
 	s.history.SetRetention(l.Retention)
 }
 
-// SetMembers takes a new VM list.
+// SetMembers applies a new VM list. If the holders of records change, records are
+// requested from all other VMs again.
 func (s *Store) SetMembers(members []*membership.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	set := outcome.NewHolderSet(members)
 	if set.Equal(s.history.Current()) {
-		return // a state changed, as when a VM leaves; the holders are the same
+		return // only the state of a VM changed, such as to leaving; the holders are the same
 	}
 	s.history.Changed(s.cfg.Now(), set)
 	s.others = s.others[:0:0]
@@ -86,36 +90,37 @@
 			s.others = append(s.others, m.ID)
 		}
 	}
-	s.epoch++
-	s.asked = map[coord.VMID]bool{}
-	s.settleIfAll()
+	s.generation++
+	s.answered = map[coord.VMID]bool{}
+	s.completeRecoveryIfAllAnswered()
 }
 
-func (s *Store) settleIfAll() {
-	if len(s.asked) == len(s.others) {
+func (s *Store) completeRecoveryIfAllAnswered() {
+	if len(s.answered) == len(s.others) {
 		s.history.CompleteRecovery()
 	}
 }
 
-// Stats returns how many records are held, their size, and whether the store is
-// settled: it is whole and has asked every other VM since the last change.
-func (s *Store) Stats() (count, bytes int, settled bool) {
+// Stats returns the number of records, their size in bytes, and whether the store
+// is synced: its records are complete and all other VMs have sent theirs since the
+// set of holders last changed.
+func (s *Store) Stats() (count, bytes int, synced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	settled = s.epoch > 0 && s.history.Complete(s.cfg.Now()) && len(s.asked) == len(s.others)
-	return s.table.Len(), s.table.Bytes(), settled
+	synced = s.generation > 0 && s.history.Complete(s.cfg.Now()) && len(s.answered) == len(s.others)
+	return s.table.Len(), s.table.Bytes(), synced
 }
 
-// syncEvery is the time between two rounds of asking for records.
-const syncEvery = 500 * time.Millisecond
+// syncInterval is the time between two rounds of requests for records.
+const syncInterval = 500 * time.Millisecond
 
-// Run asks the other VMs for records until each has answered, after every change
-// of the list.
+// Run requests records from the other VMs after each change of the set of holders,
+// until each VM has answered. It returns when the context ends.
 func (s *Store) Run(ctx context.Context) {
-	ticker := time.NewTicker(syncEvery)
+	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
 	for {
-		s.syncOnce(ctx)
+		s.requestRecords(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -124,36 +129,39 @@
 	}
 }
 
-// syncOnce asks every VM that has not answered since the last change.
-func (s *Store) syncOnce(ctx context.Context) {
+// requestRecords requests records from each VM that has not answered in the current
+// generation.
+func (s *Store) requestRecords(ctx context.Context) {
 	s.mu.Lock()
-	epoch := s.epoch
+	generation := s.generation
 	if !s.history.MayRequestRecords(s.cfg.Now()) {
 		s.mu.Unlock()
 		return
 	}
-	if len(s.asked) == len(s.others) && !s.history.Complete(s.cfg.Now()) {
-		// Not whole by these answers; others may have become so since.
-		s.asked = map[coord.VMID]bool{}
+	if len(s.answered) == len(s.others) && !s.history.Complete(s.cfg.Now()) {
+		// The answers did not make this VM's records complete. Other VMs may have
+		// become complete since, so all of them are queried again.
+		s.answered = map[coord.VMID]bool{}
 	}
-	var ask []coord.VMID
+	var pending []coord.VMID
 	for _, vm := range s.others {
-		if !s.asked[vm] {
-			ask = append(ask, vm)
+		if !s.answered[vm] {
+			pending = append(pending, vm)
 		}
 	}
 	s.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, vm := range ask {
-		wg.Go(func() { s.syncWith(ctx, vm, epoch) })
+	for _, vm := range pending {
+		wg.Go(func() { s.requestRecordsFrom(ctx, vm, generation) })
 	}
 	wg.Wait()
 }
 
-// holderTimeout bounds one call to a holder.
+// holderTimeout is the deadline of one call to a holder. A vote that arrives later
+// does not count.
 const holderTimeout = outcome.VoteValidity
 
-func (s *Store) syncWith(ctx context.Context, vm coord.VMID, epoch int) {
+func (s *Store) requestRecordsFrom(ctx context.Context, vm coord.VMID, generation int) {
 	reply, err := s.call(ctx, vm, &schema.Call{Body: &schema.Call_RecordSync{
 		RecordSync: &schema.RecordSync{Vm: string(s.cfg.Self), Incarnation: s.cfg.Incarnation},
 	}})
@@ -163,19 +171,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range reply.GetRecords().GetRecords() {
-		s.table.Merge(s.cfg.Now(), s.fromMessage(r))
+		s.table.Merge(s.cfg.Now(), s.recordFromMessage(r))
 	}
-	if epoch != s.epoch {
+	if generation != s.generation {
 		return
 	}
-	s.asked[vm] = true
+	s.answered[vm] = true
 	dump := reply.GetRecords()
 	s.history.RecordResponse(vm, outcome.RecoverySource{Incarnation: dump.GetIncarnation(), Complete: dump.GetWhole(), ConfirmsFreshStart: dump.GetCertifies()})
-	s.settleIfAll()
+	s.completeRecoveryIfAllAnswered()
 }
 
-// call sends the list's version along, so that the holder is no further behind
-// than this VM when it answers.
+// call sends a call together with the versions of this VM's bundle and list, so that
+// a holder with an older list can update it before it answers.
 func (s *Store) call(ctx context.Context, vm coord.VMID, c *schema.Call) (*schema.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
@@ -183,7 +191,7 @@
 	return s.cfg.Peers.Call(ctx, vm, c)
 }
 
-func (s *Store) fromMessage(r *schema.Record) outcome.Record {
+func (s *Store) recordFromMessage(r *schema.Record) outcome.Record {
 	answer := encodeAnswer(r.State.GetAnswer())
 	return outcome.Record{
 		Key: r.Key, Run: r.State.GetRunId(), Fingerprint: r.State.GetFingerprint(),
@@ -213,7 +221,7 @@
 	return data
 }
 
-// DecodeAnswer reads a stored answer.
+// DecodeAnswer decodes a stored answer.
 func DecodeAnswer(data []byte) (*schema.StoredAnswer, error) {
 	a := &schema.StoredAnswer{}
 	if err := proto.Unmarshal(data, a); err != nil {
@@ -222,37 +230,40 @@
 	return a, nil
 }
 
-// ListStaleMessage tells a caller that its VM list is older than the holder's.
+// ListStaleMessage is the error of a reply to a VM whose list differs from the
+// holder's list after the holder has tried to update its own.
 const ListStaleMessage = "vm list behind"
 
-// Serve answers another VM's call about records. It returns nil for other calls.
+// Serve handles calls about records from another VM and returns the reply. It
+// returns nil for all other calls.
 func (s *Store) Serve(ctx context.Context, from coord.VMID, c *schema.Call) *schema.Reply {
 	switch body := c.Body.(type) {
 	case *schema.Call_RecordBegin:
-		if refusal := s.matchLists(ctx, from, c); refusal != nil {
-			return refusal
+		if rejection := s.checkListVersion(ctx, from, c); rejection != nil {
+			return rejection
 		}
 		return &schema.Reply{Body: &schema.Reply_Record{Record: s.begin(body.RecordBegin)}}
 	case *schema.Call_RecordFinish:
 		s.finish(body.RecordFinish)
 		return &schema.Reply{Body: &schema.Reply_Empty{Empty: &schema.Empty{}}}
 	case *schema.Call_RecordSync:
-		if refusal := s.matchLists(ctx, from, c); refusal != nil {
-			return refusal
+		if rejection := s.checkListVersion(ctx, from, c); rejection != nil {
+			return rejection
 		}
 		return &schema.Reply{Body: &schema.Reply_Records{Records: s.dump(body.RecordSync)}}
 	}
 	return nil
 }
 
-// matchLists makes both sides decide from the same list: this VM catches up, or
-// the caller is told to.
-func (s *Store) matchLists(ctx context.Context, from coord.VMID, c *schema.Call) *schema.Reply {
-	if _, mine := s.cfg.Lists.Versions(); c.ListVersion > mine {
+// checkListVersion ensures that both VMs decide based on the same VM list. It
+// fetches the list of the calling VM if that list is newer. If the versions still
+// differ, it returns an error reply; otherwise it returns nil.
+func (s *Store) checkListVersion(ctx context.Context, from coord.VMID, c *schema.Call) *schema.Reply {
+	if _, ownVersion := s.cfg.Lists.Versions(); c.ListVersion > ownVersion {
 		s.cfg.Lists.PullList(ctx, from)
 	}
-	if _, mine := s.cfg.Lists.Versions(); c.ListVersion != mine {
-		return &schema.Reply{Error: ListStaleMessage, ListVersion: mine}
+	if _, ownVersion := s.cfg.Lists.Versions(); c.ListVersion != ownVersion {
+		return &schema.Reply{Error: ListStaleMessage, ListVersion: ownVersion}
 	}
 	return nil
 }
@@ -261,10 +272,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.cfg.Now()
-	verdict, r := s.table.Begin(now, b.Key, b.RunId, b.Fingerprint)
+	result, r := s.table.Begin(now, b.Key, b.RunId, b.Fingerprint)
 	state := stateMessage(r)
 	state.Certain = s.history.Authoritative(now, b.Key)
-	state.Verdict = int32(verdict)
+	state.Verdict = int32(result)
 	return state
 }
 
@@ -299,14 +310,15 @@
 	s.table.Finish(s.cfg.Now(), f.Key, f.RunId, status, encodeAnswer(f.Answer))
 }
 
-// dump returns the records that the asking VM should hold too.
-func (s *Store) dump(asker *schema.RecordSync) *schema.RecordDump {
+// dump returns the records that the requesting VM should hold as well, and whether
+// the records of this VM are complete.
+func (s *Store) dump(requester *schema.RecordSync) *schema.RecordDump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, vm := s.cfg.Now(), coord.VMID(asker.Vm)
+	now, vm := s.cfg.Now(), coord.VMID(requester.Vm)
 	out := &schema.RecordDump{
 		Whole: s.history.Complete(now), Incarnation: s.cfg.Incarnation,
-		Certifies: s.history.ConfirmsFreshStart(vm, asker.Incarnation),
+		Certifies: s.history.ConfirmsFreshStart(vm, requester.Incarnation),
 	}
 	set := s.history.Current()
 	if set == nil {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,8 +1,8 @@
-// Package router picks the target of a request and finds who runs it. It holds
-// what this VM has heard of the targets' load.
+// Package router picks the target of a request and the VM that owns the target.
+// It keeps the load that owners have reported for each target.
 //
-// Lock order: Router.mu is taken alone. The catalog and chooser are swapped
-// whole and never changed.
+// Lock order: no other lock is acquired while Router.mu is held. The catalog and
+// the chooser are immutable and are replaced together.
 package router
 
 import (
@@ -17,47 +17,50 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// View is what routing decides from.
+// View is the configuration that routing decisions are based on.
 type View struct {
 	Catalog *catalog.Catalog
 	Chooser *ownership.Chooser
-	// Zone of this VM, preferred for plain services.
+	// Zone is the availability zone of this VM. Plain services are served from it
+	// if possible.
 	Zone string
 }
 
-// Router picks targets.
+// Router picks targets for requests. It is safe for concurrent use.
 type Router struct {
 	view atomic.Pointer[View]
 	now  func() time.Time
 
-	mu     sync.Mutex
-	sched  *placement.Scheduler
-	board  *placement.LoadTracker
-	spread *placement.Spread
-	turn   uint64
+	mu        sync.Mutex
+	scheduler *placement.Scheduler
+	loads     *placement.LoadTracker
+	spread    *placement.Spread
+	rotation  uint64
 }
 
-// New returns a Router without a view.
+// New returns a Router without a View. SetView must be called before requests are
+// routed.
 func New(now func() time.Time) *Router {
 	return &Router{
-		sched: placement.Default(), now: now,
-		board:  placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
+		scheduler: placement.Default(), now: now,
+		loads:  placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
 		spread: placement.NewSpread(placement.DefaultSpreadConfig()),
 	}
 }
 
-// SetView puts a view in force.
+// SetView replaces the View and the placement settings that follow from its
+// weights.
 func (r *Router) SetView(v View) {
 	w := v.Catalog.Weights
-	spread, sched := placement.ForWeights(w.GetLoadStall(), w.GetBatchEfficiency())
+	spread, scheduler := placement.ForWeights(w.GetLoadStall(), w.GetBatchEfficiency())
 	r.mu.Lock()
 	r.spread.SetConfig(spread)
-	r.sched = sched
+	r.scheduler = scheduler
 	r.mu.Unlock()
 	r.view.Store(&v)
 }
 
-// Catalog returns the catalog in force, or nil.
+// Catalog returns the current catalog, or nil before the first SetView.
 func (r *Router) Catalog() *catalog.Catalog {
 	if v := r.view.Load(); v != nil {
 		return v.Catalog
@@ -65,15 +68,16 @@
 	return nil
 }
 
-// Route is where an attempt goes.
+// Route is the destination of an attempt.
 type Route struct {
 	Target coord.TargetID
-	// Owner runs the attempt; empty for a plain service.
+	// Owner is the VM that runs the attempt; empty for a plain service.
 	Owner   coord.VMID
 	Address string
 }
 
-// PickEngine picks an engine for a model. Targets in avoid are passed over.
+// PickEngine picks an engine for a model, skipping the targets in avoid. It
+// returns false if no engine is available or the engine has no owner.
 func (r *Router) PickEngine(m catalog.Model, avoid []coord.TargetID) (Route, bool) {
 	v := r.view.Load()
 	pool := v.Catalog.Engines.Pool(m.Base)
@@ -81,10 +85,10 @@
 		return Route{}, false
 	}
 	r.mu.Lock()
-	q := r.query(m, avoid)
-	choice := r.sched.Pick(pool, r.board, &q)
+	q := r.placementQuery(m, avoid)
+	choice := r.scheduler.Pick(pool, r.loads, &q)
 	if choice.OK {
-		r.board.RecordSent(choice.Target)
+		r.loads.RecordSent(choice.Target)
 	}
 	r.mu.Unlock()
 	if !choice.OK {
@@ -95,25 +99,26 @@
 	return Route{Target: t.ID, Owner: owner, Address: t.Address}, owner != ""
 }
 
-func (r *Router) query(m catalog.Model, avoid []coord.TargetID) placement.Query {
+func (r *Router) placementQuery(m catalog.Model, avoid []coord.TargetID) placement.Query {
 	return placement.Query{
 		Key: m.Key, Zones: m.ZoneMask, Spread: r.spread.Width(m.Key), Exclude: avoid, Now: r.now(),
 	}
 }
 
-// PickService picks an instance of a plain service: in this VM's hall if one is fit
-// there, in turn among equals.
+// PickService picks an instance of a plain service, skipping the targets in avoid.
+// It prefers available instances in this VM's zone and rotates among equals. It
+// returns false if no instance is available.
 func (r *Router) PickService(s *catalog.Service, avoid []coord.TargetID) (Route, bool) {
 	v := r.view.Load()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.turn++
+	r.rotation++
 	var best *catalog.Target
 	bestLocal := false
 	for i := range s.Targets {
-		t := s.Targets[(uint64(i)+r.turn)%uint64(len(s.Targets))]
+		t := s.Targets[(uint64(i)+r.rotation)%uint64(len(s.Targets))]
 		local := t.Hall == v.Zone
-		if !r.fit(t, avoid) || (best != nil && (bestLocal || !local)) {
+		if !r.isAvailable(t, avoid) || (best != nil && (bestLocal || !local)) {
 			continue
 		}
 		best, bestLocal = t, local
@@ -124,16 +129,17 @@
 	return Route{Target: best.ID, Address: best.Address}, true
 }
 
-func (r *Router) fit(t *catalog.Target, avoid []coord.TargetID) bool {
+func (r *Router) isAvailable(t *catalog.Target, avoid []coord.TargetID) bool {
 	for _, id := range avoid {
 		if id == t.ID {
 			return false
 		}
 	}
-	return !t.Leaving && !r.board.Ejected(r.now(), t.ID)
+	return !t.Leaving && !r.loads.Ejected(r.now(), t.ID)
 }
 
-// ObserveLoad takes what an owner told with an answer.
+// ObserveLoad applies the load that an owner reported with a response. key is the
+// placement key of the request's model.
 func (r *Router) ObserveLoad(key uint64, h *schema.LoadHint) {
 	if h == nil {
 		return
@@ -141,31 +147,34 @@
 	id := coord.TargetID(h.Target)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.board.ObserveLoad(r.now(), id, int(h.Running), int(h.Queued))
-	r.board.SetLeaving(id, h.Leaving)
+	r.loads.ObserveLoad(r.now(), id, int(h.Running), int(h.Queued))
+	r.loads.SetLeaving(id, h.Leaving)
 	r.spread.ObserveLoad(r.now(), key, int(h.SameAdapter), int(h.Batch))
 }
 
-// RecordResult notes whether a target served an attempt.
+// RecordResult records whether a target served an attempt. It reports whether this
+// result caused the target to be ejected.
 func (r *Router) RecordResult(id coord.TargetID, served bool) (ejected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if served {
-		r.board.RecordSuccess(id)
+		r.loads.RecordSuccess(id)
 		return false
 	}
-	return r.board.RecordFailure(r.now(), id)
+	return r.loads.RecordFailure(r.now(), id)
 }
 
-// Tick lets old knowledge fade. Call it about once a second.
+// Tick drops stale load reports and narrows the spread of adapters that are no
+// longer busy. It should be called about once a second.
 func (r *Router) Tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.board.ExpireStale(r.now())
+	r.loads.ExpireStale(r.now())
 	r.spread.Tick(r.now())
 }
 
-// Explain says why a model's request goes where it goes.
+// Explain returns the target that would be chosen for a model and the rank, score
+// or reason for exclusion of each candidate.
 func (r *Router) Explain(m catalog.Model) *schema.Explanation {
 	v := r.view.Load()
 	out := &schema.Explanation{Model: m.Adapter.Model()}
@@ -174,9 +183,9 @@
 		return out
 	}
 	r.mu.Lock()
-	q := r.query(m, nil)
-	reasons := r.sched.Explain(pool, r.board, &q)
-	choice := r.sched.Pick(pool, r.board, &q)
+	q := r.placementQuery(m, nil)
+	reasons := r.scheduler.Explain(pool, r.loads, &q)
+	choice := r.scheduler.Pick(pool, r.loads, &q)
 	r.mu.Unlock()
 	out.Chosen = string(choice.Target)
 	for _, reason := range reasons {
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -16,8 +16,8 @@
 //go:embed edge.ini
 var EdgeExample string
 
-// LoadEdge reads the settings file of an edge VM. The error is a *findings.Error
-// when the file could be read but is wrong.
+// LoadEdge reads and validates the settings file of an edge VM. The error is a
+// *findings.Error if the file could be read but is invalid.
 func LoadEdge(file string) (*schema.EdgeSettings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return ParseEdge(file, data)
 }
 
-// ParseEdge reads the settings of an edge VM from data. file is named in findings.
+// ParseEdge parses and validates the settings of an edge VM and applies defaults.
+// file is the name used in findings.
 func ParseEdge(file string, data []byte) (*schema.EdgeSettings, error) {
 	fs := &findings.List{}
 	p := &edgeParser{reader: newReader(file, fs), out: edgeDefaults()}
@@ -44,7 +45,7 @@
 	}
 }
 
-// edgeParser reads and checks the settings of an edge VM.
+// edgeParser parses and validates the settings of an edge VM.
 type edgeParser struct {
 	reader
 	out *schema.EdgeSettings
@@ -52,29 +53,29 @@
 
 func (p *edgeParser) check() {
 	s := p.out
-	p.required("vm", "id", s.Vm.Id)
-	p.required("vm", "zone", s.Vm.Zone)
-	p.address("listen", "door", s.Listen.Door)
-	p.address("listen", "ready", s.Listen.Ready)
-	p.address("listen", "peer", s.Listen.Peer)
+	p.checkRequired("vm", "id", s.Vm.Id)
+	p.checkRequired("vm", "zone", s.Vm.Zone)
+	p.checkAddress("listen", "door", s.Listen.Door)
+	p.checkAddress("listen", "ready", s.Listen.Ready)
+	p.checkAddress("listen", "peer", s.Listen.Peer)
 	if s.Listen.Metrics != "" {
-		p.address("listen", "metrics", s.Listen.Metrics)
+		p.checkAddress("listen", "metrics", s.Listen.Metrics)
 	}
 	if s.Listen.Advertise != "" {
-		p.address("listen", "advertise", s.Listen.Advertise)
+		p.checkAddress("listen", "advertise", s.Listen.Advertise)
 	}
 	for _, seed := range s.Listen.Seeds {
-		p.address("listen", "seeds", seed)
+		p.checkAddress("listen", "seeds", seed)
 	}
-	p.address("store", "address", s.Store.Address)
-	p.inRange([]span{
+	p.checkAddress("store", "address", s.Store.Address)
+	p.checkIntRanges([]intRange{
 		{"vm", "memory_mb", int64(s.Vm.MemoryMb), 16, 1 << 20},
 		{"times", "drain_ms", int64(s.Times.DrainMs), 100, 600_000},
 		{"times", "config_apply_ms", int64(s.Times.ConfigApplyMs), 100, 600_000},
 		{"times", "revoke_ms", int64(s.Times.RevokeMs), 0, 600_000},
 		{"orders", "lease_ms", int64(s.Orders.LeaseMs), 100, 600_000},
 	})
-	p.inFractions([]fraction{
+	p.checkFloatRanges([]floatRange{
 		{"vm", "cpu_share", s.Vm.CpuShare, 0.001, 1024},
 		{"vm", "cpu_cores", s.Vm.CpuCores, 0.001, 1024},
 		{"times", "grace_s", s.Times.GraceS, 0.5, 3600},
@@ -85,5 +86,5 @@
 		{"quota", "slack", s.Quota.Slack, 0, 1e9},
 		{"orders", "load_over", s.Orders.LoadOver, 1, 100},
 	})
-	p.level(s.Log.Level)
+	p.checkLogLevel(s.Log.Level)
 }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -9,19 +9,20 @@
 	"github.com/junctionfold/junctionfold/internal/inifile"
 )
 
-// reader reads sections into a message and checks values, with their places.
+// reader decodes sections into a message and validates values. Findings carry the
+// position of the key.
 type reader struct {
-	file   string
-	fs     *findings.List
-	places map[string]findings.Position
+	file      string
+	fs        *findings.List
+	positions map[string]findings.Position
 }
 
 func newReader(file string, fs *findings.List) reader {
-	return reader{file: file, fs: fs, places: map[string]findings.Position{}}
+	return reader{file: file, fs: fs, positions: map[string]findings.Position{}}
 }
 
-// read sets the fields of m from sections: a section names a field, its keys the
-// fields of that field's message.
+// read sets the fields of m from sections. The name of a section is a field of m;
+// its keys are fields of that field's message.
 func (p *reader) read(m protoreflect.Message, sections []inifile.Section) {
 	fields := m.Descriptor().Fields()
 	seen := map[string]int{}
@@ -32,13 +33,13 @@
 			p.fs.Add(s.Position, "unknown section%s", inifile.Suggest(s.Kind, sectionNames(fields)))
 			continue
 		}
-		if before := seen[s.Kind]; before > 0 {
-			p.fs.Add(s.Position, "stands already on line %d", before)
+		if firstLine := seen[s.Kind]; firstLine > 0 {
+			p.fs.Add(s.Position, "stands already on line %d", firstLine)
 			continue
 		}
 		seen[s.Kind] = s.Position.Line
 		inifile.Decode(s, m.Mutable(f).Message(), p.fs)
-		p.remember(s)
+		p.recordPositions(s)
 	}
 }
 
@@ -50,71 +51,73 @@
 	return out
 }
 
-func (p *reader) remember(s *inifile.Section) {
+func (p *reader) recordPositions(s *inifile.Section) {
 	for _, k := range s.Keys {
-		p.places[s.Kind+"."+k.Name] = s.Position.WithKey(k.Name, k.Line)
+		p.positions[s.Kind+"."+k.Name] = s.Position.WithKey(k.Name, k.Line)
 	}
 }
 
-// place returns where a key stands, or where it would have to.
-func (p *reader) place(section, key string) findings.Position {
-	if at, ok := p.places[section+"."+key]; ok {
-		return at
+// positionOf returns the position of a key in the file. For a missing key the
+// position has no line.
+func (p *reader) positionOf(section, key string) findings.Position {
+	if position, ok := p.positions[section+"."+key]; ok {
+		return position
 	}
 	return findings.Position{File: p.file, Section: section, Key: key}
 }
 
-func (p *reader) required(section, key, value string) {
+func (p *reader) checkRequired(section, key, value string) {
 	if value == "" {
-		p.fs.Add(p.place(section, key), "is required")
+		p.fs.Add(p.positionOf(section, key), "is required")
 	}
 }
 
-// address checks an IP number with a port; names are not looked up.
-func (p *reader) address(section, key, value string) {
+// checkAddress checks that a value is an IP address with a port. Host names are
+// rejected because they are not resolved.
+func (p *reader) checkAddress(section, key, value string) {
 	if value == "" {
-		p.fs.Add(p.place(section, key), "is required")
+		p.fs.Add(p.positionOf(section, key), "is required")
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		p.fs.Add(p.place(section, key), "%q is not an IP number with a port, such as 10.0.0.4:9400", value)
+		p.fs.Add(p.positionOf(section, key), "%q is not an IP number with a port, such as 10.0.0.4:9400", value)
 	}
 }
 
-// span is the range that a number must lie in.
-type span struct {
+// intRange is an integer setting with the inclusive range of valid values.
+type intRange struct {
 	section, key string
 	value        int64
 	low, high    int64
 }
 
-func (p *reader) inRange(spans []span) {
-	for _, r := range spans {
+func (p *reader) checkIntRanges(ranges []intRange) {
+	for _, r := range ranges {
 		if r.value < r.low || r.value > r.high {
-			p.fs.Add(p.place(r.section, r.key), "%d is not between %d and %d", r.value, r.low, r.high)
+			p.fs.Add(p.positionOf(r.section, r.key), "%d is not between %d and %d", r.value, r.low, r.high)
 		}
 	}
 }
 
-// fraction is the range that a number with a fraction must lie in.
-type fraction struct {
+// floatRange is a floating-point setting with the inclusive range of valid values.
+type floatRange struct {
 	section, key string
 	value        float64
 	low, high    float64
 }
 
-func (p *reader) inFractions(spans []fraction) {
-	for _, r := range spans {
+func (p *reader) checkFloatRanges(ranges []floatRange) {
+	for _, r := range ranges {
 		if !(r.value >= r.low && r.value <= r.high) {
-			p.fs.Add(p.place(r.section, r.key), "%g is not between %g and %g", r.value, r.low, r.high)
+			p.fs.Add(p.positionOf(r.section, r.key), "%g is not between %g and %g", r.value, r.low, r.high)
 		}
 	}
 }
 
-func (p *reader) level(level string) {
+func (p *reader) checkLogLevel(level string) {
 	switch level {
 	case "debug", "info", "warn", "error":
 	default:
-		p.fs.Add(p.place("log", "level"), "%q is none of debug, info, warn, error", level)
+		p.fs.Add(p.positionOf("log", "level"), "%q is none of debug, info, warn, error", level)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads a daemon's settings file and checks it whole.
+// Package settings reads and validates the settings file of a daemon and reports
+// all findings at once.
 package settings
 
 import (
@@ -20,8 +21,8 @@
 //go:embed example.ini
 var Example string
 
-// Load reads a settings file. The error is a *findings.Error when the file
-// could be read but is wrong.
+// Load reads and validates a settings file. The error is a *findings.Error if the
+// file could be read but is invalid.
 func Load(file string) (*schema.Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -30,8 +31,8 @@
 	return Parse(file, data)
 }
 
-// Parse reads settings from data and fills in defaults. file is named in
-// findings.
+// Parse parses and validates settings and applies defaults. file is the name used
+// in findings.
 func Parse(file string, data []byte) (*schema.Settings, error) {
 	fs := &findings.List{}
 	p := &parser{reader: newReader(file, fs), out: Defaults()}
@@ -40,7 +41,7 @@
 	return p.out, fs.Err()
 }
 
-// Defaults returns the settings that hold where a file says nothing.
+// Defaults returns the settings that apply to keys that a file does not set.
 func Defaults() *schema.Settings {
 	return &schema.Settings{
 		Vm: &schema.VMSettings{},
@@ -55,7 +56,7 @@
 	}
 }
 
-// parser reads and checks the settings of a VM with a front door of its own.
+// parser parses and validates the settings of a VM that runs its own front end.
 type parser struct {
 	reader
 	out *schema.Settings
@@ -63,37 +64,37 @@
 
 func (p *parser) check() {
 	s := p.out
-	p.required("vm", "id", s.Vm.Id)
-	p.required("vm", "hall", s.Vm.Hall)
-	p.address("door", "listen", s.Door.Listen)
-	p.address("peer", "listen", s.Peer.Listen)
-	p.address("operator", "listen", s.Operator.Listen)
-	p.required("operator", "token", s.Operator.Token)
-	p.baseURL("platform", "config_url", s.Platform.ConfigUrl)
-	p.baseURL("platform", "vm_list_url", s.Platform.VmListUrl)
+	p.checkRequired("vm", "id", s.Vm.Id)
+	p.checkRequired("vm", "hall", s.Vm.Hall)
+	p.checkAddress("door", "listen", s.Door.Listen)
+	p.checkAddress("peer", "listen", s.Peer.Listen)
+	p.checkAddress("operator", "listen", s.Operator.Listen)
+	p.checkRequired("operator", "token", s.Operator.Token)
+	p.checkBaseURL("platform", "config_url", s.Platform.ConfigUrl)
+	p.checkBaseURL("platform", "vm_list_url", s.Platform.VmListUrl)
 	for _, seed := range s.Platform.Seeds {
-		p.address("platform", "seeds", seed)
+		p.checkAddress("platform", "seeds", seed)
 	}
-	p.ranges()
-	p.peerKeys()
-	p.trust()
-	p.level(p.out.Log.Level)
+	p.checkRanges()
+	p.checkPeerTLS()
+	p.checkTrust()
+	p.checkLogLevel(p.out.Log.Level)
 }
 
-func (p *parser) baseURL(section, key, value string) {
+func (p *parser) checkBaseURL(section, key, value string) {
 	u, err := url.Parse(value)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		p.fs.Add(p.place(section, key), "%q is not a URL such as http://10.0.0.9:8500", value)
+		p.fs.Add(p.positionOf(section, key), "%q is not a URL such as http://10.0.0.9:8500", value)
 		return
 	}
 	if _, err := netip.ParseAddr(u.Hostname()); err != nil {
-		p.fs.Add(p.place(section, key), "%q names a host; an IP number is needed", value)
+		p.fs.Add(p.positionOf(section, key), "%q names a host; an IP number is needed", value)
 	}
 }
 
-func (p *parser) ranges() {
+func (p *parser) checkRanges() {
 	s := p.out
-	p.inRange([]span{
+	p.checkIntRanges([]intRange{
 		{"door", "max_body_bytes", s.Door.MaxBodyBytes, 1 << 10, 64 << 20},
 		{"door", "max_request_ms", s.Door.MaxRequestMs, 100, 3_600_000},
 		{"door", "max_open_requests", s.Door.MaxOpenRequests, 1, 1 << 20},
@@ -104,31 +105,31 @@
 	})
 }
 
-func (p *parser) peerKeys() {
+func (p *parser) checkPeerTLS() {
 	s := p.out.Peer
 	if !s.InsecureLoopback {
-		p.required("peer", "cert_file", s.CertFile)
-		p.required("peer", "key_file", s.KeyFile)
-		p.required("peer", "ca_file", s.CaFile)
+		p.checkRequired("peer", "cert_file", s.CertFile)
+		p.checkRequired("peer", "key_file", s.KeyFile)
+		p.checkRequired("peer", "ca_file", s.CaFile)
 		return
 	}
-	at, err := netip.ParseAddrPort(s.Listen)
-	if err == nil && !at.Addr().IsLoopback() {
-		p.fs.Add(p.place("peer", "insecure_loopback"), "TLS can be off only when [peer] listen is a loopback address")
+	address, err := netip.ParseAddrPort(s.Listen)
+	if err == nil && !address.Addr().IsLoopback() {
+		p.fs.Add(p.positionOf("peer", "insecure_loopback"), "TLS can be off only when [peer] listen is a loopback address")
 	}
 }
 
-func (p *parser) trust() {
+func (p *parser) checkTrust() {
 	t := p.out.Trust
 	if len(t.PublicKeys) == 0 {
-		p.fs.Add(p.place("trust", "public_keys"), "is required")
+		p.fs.Add(p.positionOf("trust", "public_keys"), "is required")
 	}
 	for _, k := range t.PublicKeys {
 		if _, _, err := bundle.ParsePublicKey(k); err != nil {
-			p.fs.Add(p.place("trust", "public_keys"), "%v", err)
+			p.fs.Add(p.positionOf("trust", "public_keys"), "%v", err)
 		}
 	}
 	if t.Required < 1 || int(t.Required) > max(len(t.PublicKeys), 1) {
-		p.fs.Add(p.place("trust", "required"), "%d is not between 1 and the number of public_keys (%d)", t.Required, len(t.PublicKeys))
+		p.fs.Add(p.positionOf("trust", "required"), "%d is not between 1 and the number of public_keys (%d)", t.Required, len(t.PublicKeys))
 	}
 }
