--- a/cmd/junctionctl/main.go
+++ b/cmd/junctionctl/main.go
@@ -1,4 +1,4 @@
-// Command junctionctl is the operators' tool.
+// Command junctionctl is the command-line tool for operators of junctionfold.
 package main
 
 import (
--- a/cmd/junctionfold/main.go
+++ b/cmd/junctionfold/main.go
@@ -1,4 +1,4 @@
-// Command junctionfold is the daemon: one VM of the serving layer.
+// Command junctionfold is the daemon that runs on each VM of the serving layer.
 package main
 
 import (
--- a/internal/ci/known_red_test.go
+++ b/internal/ci/known_red_test.go
@@ -1,4 +1,4 @@
-// Package ci tests the scripts of .ci.
+// Package ci tests the scripts in the .ci directory.
 package ci
 
 import (
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// sample has tests whose names are parts of each other.
-const sample = `package sample
+// sampleTests is a test file in which some test names are prefixes of others.
+const sampleTests = `package sample
 
 import "testing"
 
@@ -28,12 +28,13 @@
 
 var passLine = regexp.MustCompile(`--- PASS: (\S+)`)
 
-// TestKnownRedPassesOverExactlyItsTests runs go test with the pattern that a list gives.
-func TestKnownRedPassesOverExactlyItsTests(t *testing.T) {
+// TestKnownRedSkipsExactlyListedTests runs go test with the -skip pattern that the
+// known-red script prints for a list, and compares the tests that passed.
+func TestKnownRedSkipsExactlyListedTests(t *testing.T) {
 	all := []string{"TestA", "TestAB", "TestC", "TestC/x_1", "TestC/x_12"}
 	for _, row := range []struct {
 		name, list string
-		over       []string
+		skipped    []string
 	}{
 		{"an empty list", "", nil},
 		{"a test", "TestA | a cause | 7\n", []string{"TestA"}},
@@ -44,21 +45,21 @@
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			write(t, dir, "go.mod", "module sample\n\ngo 1.26\n")
-			write(t, dir, "sample_test.go", sample)
-			write(t, dir, "KNOWN-RED.txt", row.list)
-			pattern := run(t, dir, script(t), "KNOWN-RED.txt")
+			writeFile(t, dir, "go.mod", "module sample\n\ngo 1.26\n")
+			writeFile(t, dir, "sample_test.go", sampleTests)
+			writeFile(t, dir, "KNOWN-RED.txt", row.list)
+			pattern := runCommand(t, dir, knownRedScript(t), "KNOWN-RED.txt")
 			args := []string{"test", "-v", "-count=1"}
 			if pattern = strings.TrimSpace(pattern); pattern != "" {
 				args = append(args, "-skip", pattern)
 			}
 			var want, got []string
 			for _, name := range all {
-				if !slices.Contains(row.over, name) {
+				if !slices.Contains(row.skipped, name) {
 					want = append(want, name)
 				}
 			}
-			for _, m := range passLine.FindAllStringSubmatch(run(t, dir, "go", args...), -1) {
+			for _, m := range passLine.FindAllStringSubmatch(runCommand(t, dir, "go", args...), -1) {
 				got = append(got, m[1])
 			}
 			slices.Sort(got)
@@ -67,19 +68,22 @@
 	}
 }
 
-func script(t *testing.T) string {
+// knownRedScript returns the absolute path of the script under test.
+func knownRedScript(t *testing.T) string {
 	t.Helper()
 	path, err := filepath.Abs("../../.ci/known-red")
 	assert.NilError(t, err)
 	return path
 }
 
-func write(t *testing.T, dir, name, text string) {
+func writeFile(t *testing.T, dir, name, text string) {
 	t.Helper()
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 }
 
-func run(t *testing.T, dir, program string, args ...string) string {
+// runCommand runs a program in dir and returns its combined output. It fails the
+// test if the program fails.
+func runCommand(t *testing.T, dir, program string, args ...string) string {
 	t.Helper()
 	cmd := exec.Command(program, args...)
 	cmd.Dir = dir
--- a/internal/cli/bundle.go
+++ b/internal/cli/bundle.go
@@ -38,13 +38,13 @@
 				_, err := fmt.Fprint(cmd.OutOrStdout(), bundle.Example)
 				return err
 			}
-			return writeNew(args[0], []byte(bundle.Example), 0o644)
+			return writeNewFile(args[0], []byte(bundle.Example), 0o644)
 		},
 	}
 }
 
-// writeNew writes a file that must not be there yet.
-func writeNew(file string, data []byte, mode os.FileMode) error {
+// writeNewFile creates a file and writes data to it. It fails if the file exists.
+func writeNewFile(file string, data []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return errors.Wrap(err, "write file")
@@ -92,7 +92,7 @@
 			}
 			manifest.Version, manifest.Author, manifest.Comment = version, author, comment
 			manifest.CreatedUnixMs = time.Now().UnixMilli()
-			if err := writeBuilt(dir, manifest, chunks); err != nil {
+			if err := writeBuiltBundle(dir, manifest, chunks); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: version %d, %d chunks\n", dir, version, len(manifest.Chunks))
@@ -109,7 +109,7 @@
 	return cmd
 }
 
-func writeBuilt(dir string, m *schema.Manifest, chunks bundle.Chunks) error {
+func writeBuiltBundle(dir string, m *schema.Manifest, chunks bundle.Chunks) error {
 	if m.Version == 0 {
 		return errors.New("--version must be above zero")
 	}
@@ -129,7 +129,8 @@
 	return writeManifest(dir, signed)
 }
 
-// writeValue writes the value of a key of the configuration service.
+// writeValue writes the value of a configuration service key to the file below
+// dir that has the key as its path.
 func writeValue(dir, key string, data []byte) error {
 	file := filepath.Join(dir, filepath.FromSlash(key))
 	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
@@ -146,20 +147,20 @@
 	return writeValue(dir, bundle.ManifestKey, data)
 }
 
-// built is a bundle read back from its directory.
-type built struct {
+// builtBundle is a built bundle as read from its directory.
+type builtBundle struct {
 	signed   *schema.SignedManifest
 	manifest *schema.Manifest
 	bundle   *schema.Bundle
 }
 
-// readBuilt reads and checks a built bundle; it does not check signatures.
-func readBuilt(dir string) (*built, error) {
+// readBuiltBundle reads and validates a built bundle. It does not verify signatures.
+func readBuiltBundle(dir string) (*builtBundle, error) {
 	data, err := os.ReadFile(filepath.Join(dir, filepath.FromSlash(bundle.ManifestKey)))
 	if err != nil {
 		return nil, errors.Wrap(err, "read manifest")
 	}
-	out := &built{signed: &schema.SignedManifest{}}
+	out := &builtBundle{signed: &schema.SignedManifest{}}
 	if err := proto.Unmarshal(data, out.signed); err != nil {
 		return nil, errors.Wrapf(err, "%s: decode signed manifest", dir)
 	}
@@ -188,7 +189,7 @@
 			if err != nil {
 				return errors.Wrap(err, keyFile)
 			}
-			b, err := readBuilt(args[0])
+			b, err := readBuiltBundle(args[0])
 			if err != nil {
 				return err
 			}
@@ -217,7 +218,7 @@
 			if err != nil {
 				return err
 			}
-			b, err := readBuilt(args[0])
+			b, err := readBuiltBundle(args[0])
 			if err != nil {
 				return err
 			}
@@ -242,15 +243,15 @@
 	}
 	asJSON := jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		older, err := readEither(args[0])
+		oldBundle, err := readBundle(args[0])
 		if err != nil {
 			return err
 		}
-		newer, err := readEither(args[1])
+		newBundle, err := readBundle(args[1])
 		if err != nil {
 			return err
 		}
-		changes := bundle.Diff(older, newer)
+		changes := bundle.Diff(oldBundle, newBundle)
 		if *asJSON {
 			return writeJSON(cmd.OutOrStdout(), changes)
 		}
@@ -264,10 +265,11 @@
 	return cmd
 }
 
-// readEither reads a bundle from a built directory or from its source.
-func readEither(path string) (*schema.Bundle, error) {
+// readBundle reads a bundle from the directory of a built bundle, or from its
+// source if path holds no manifest.
+func readBundle(path string) (*schema.Bundle, error) {
 	if _, err := os.Stat(filepath.Join(path, filepath.FromSlash(bundle.ManifestKey))); err == nil {
-		b, err := readBuilt(path)
+		b, err := readBuiltBundle(path)
 		if err != nil {
 			return nil, err
 		}
@@ -280,8 +282,8 @@
 	return src.Bundle, nil
 }
 
-// shown is what bundle show tells.
-type shown struct {
+// bundleSummary is the output of bundle show.
+type bundleSummary struct {
 	Version    uint64   `json:"version"`
 	Author     string   `json:"author"`
 	Comment    string   `json:"comment"`
@@ -303,11 +305,11 @@
 	}
 	asJSON := jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		b, err := readBuilt(args[0])
+		b, err := readBuiltBundle(args[0])
 		if err != nil {
 			return err
 		}
-		s := summary(b)
+		s := summarize(b)
 		if *asJSON {
 			return writeJSON(cmd.OutOrStdout(), s)
 		}
@@ -320,8 +322,8 @@
 	return cmd
 }
 
-func summary(b *built) shown {
-	s := shown{
+func summarize(b *builtBundle) bundleSummary {
+	s := bundleSummary{
 		Version: b.manifest.Version, Author: b.manifest.Author, Comment: b.manifest.Comment,
 		Created: time.UnixMilli(b.manifest.CreatedUnixMs).UTC().Format(time.RFC3339),
 		Chunks:  len(b.manifest.Chunks), Adapters: len(b.bundle.Adapters),
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli is the command lines of the daemon and the operators' tool.
+// Package cli implements the command lines of the daemon and of the operators'
+// tool.
 package cli
 
 import (
@@ -23,12 +24,13 @@
 	exitFindings = 2
 )
 
-// errQuiet ends a command with exitFailed when all has been said.
-var errQuiet = errors.New("")
+// errReported makes run return exitFailed without printing an error. Commands
+// return it when they have reported the failure themselves.
+var errReported = errors.New("")
 
-// run executes a command line and returns the exit code. Findings are printed
-// one a line and give exitFindings. A reader that closes the pipe early is not
-// an error.
+// run executes a command line and returns its exit code. SIGINT and SIGTERM cancel
+// the command's context. Findings are printed one per line and result in
+// exitFindings. A reader that closes the output pipe early is not an error.
 func run(root *cobra.Command, args []string, in io.Reader, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -39,21 +41,21 @@
 	root.SilenceErrors = true
 	root.SilenceUsage = true
 	err := root.ExecuteContext(ctx)
-	var found *findings.Error
+	var invalid *findings.Error
 	switch {
 	case err == nil, errors.Is(err, syscall.EPIPE):
 		return exitOK
-	case errors.Is(err, errQuiet):
+	case errors.Is(err, errReported):
 		return exitFailed
-	case errors.As(err, &found):
-		fmt.Fprintln(errOut, found.Error())
+	case errors.As(err, &invalid):
+		fmt.Fprintln(errOut, invalid.Error())
 		return exitFindings
 	}
 	fmt.Fprintln(errOut, "error:", err)
 	return exitFailed
 }
 
-// jsonFlag adds --json to a command.
+// jsonFlag adds the flag --json to a command and returns its value.
 func jsonFlag(cmd *cobra.Command) *bool {
 	return cmd.Flags().Bool("json", false, "write JSON")
 }
@@ -64,5 +66,5 @@
 	return enc.Encode(v)
 }
 
-// writeJSONLine writes v as one line.
+// writeJSONLine writes v as JSON on a single line.
 func writeJSONLine(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -12,7 +12,7 @@
 	"github.com/junctionfold/junctionfold/internal/settings"
 )
 
-// Daemon runs the daemon's command line.
+// Daemon runs the daemon's command line and returns the exit code.
 func Daemon(args []string, in io.Reader, out, errOut io.Writer) int {
 	root := &cobra.Command{
 		Use:   "junctionfold",
@@ -65,7 +65,7 @@
 	return cmd
 }
 
-// Version of the product.
+// Version is the product's version.
 const Version = "0.1.0"
 
 func versionCommand() *cobra.Command {
--- a/internal/cli/edge.go
+++ b/internal/cli/edge.go
@@ -18,13 +18,14 @@
 	"github.com/junctionfold/junctionfold/platform"
 )
 
-// gcPercent makes the heap grow less between collections than by default: memory
-// at its peak is charged for, processor time is plentiful.
+// gcPercent lets the heap grow less between garbage collections than the default:
+// peak memory is billed, and CPU time is plentiful.
 const gcPercent = 50
 
-// memoryShare of the VM's memory is where the collector works harder, so that
-// the process stays below the limit at which it would be killed.
-const memoryShare = 0.75
+// memoryLimitShare is the share of the VM's memory that is set as the soft memory
+// limit. Above it the garbage collector works harder, so that the process stays
+// below the limit at which it would be killed.
+const memoryLimitShare = 0.75
 
 func edgeCommand() *cobra.Command {
 	var file string
@@ -33,8 +34,8 @@
 		Short: "Serve as an edge VM on the users' platform until SIGTERM, then drain",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			// Handled from the first moment to the last: SIGHUP ends a process that
-			// does not, also one that starts or drains.
+			// SIGHUP is handled from start to exit, because its default action
+			// would terminate the process, also while it starts or drains.
 			hangup := make(chan os.Signal, 1)
 			signal.Notify(hangup, syscall.SIGHUP)
 			s, err := settings.LoadEdge(file)
@@ -42,7 +43,7 @@
 				return err
 			}
 			debug.SetGCPercent(gcPercent)
-			debug.SetMemoryLimit(int64(memoryShare * float64(s.Vm.MemoryMb) * (1 << 20)))
+			debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.Vm.MemoryMb) * (1 << 20)))
 			l := events.New(cmd.OutOrStdout(), s.Log.Level, s.Vm.Id)
 			defer l.Close()
 			metrics := gateway.NewMetrics()
@@ -58,9 +59,9 @@
 			if err != nil {
 				return err
 			}
-			watching, stop := context.WithCancel(context.WithoutCancel(cmd.Context()))
+			watchCtx, stop := context.WithCancel(context.WithoutCancel(cmd.Context()))
 			defer stop()
-			go watchSettings(watching, hangup, file, n, l)
+			go watchSettings(watchCtx, hangup, file, n, l)
 			return n.Run(cmd.Context())
 		},
 	}
@@ -68,27 +69,28 @@
 	return cmd
 }
 
-// settingsCheck is how often the settings file is looked at: it may change
-// without a signal.
-const settingsCheck = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for
+// changes. The file may change without a SIGHUP.
+const settingsPollInterval = 2 * time.Second
 
-// watchSettings reloads the settings file on a hangup and when it has changed, until the
-// context ends.
+// watchSettings reloads the settings file on SIGHUP and when its modification time
+// changes, until ctx ends. Settings that cannot be loaded are logged and not
+// applied.
 func watchSettings(ctx context.Context, hangup <-chan os.Signal, file string, n *edge.Node, l *events.Log) {
-	ticker := time.NewTicker(settingsCheck)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen := modified(file)
+	lastModTime := modTime(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
 		case <-ticker.C:
-			if now := modified(file); now.Equal(seen) {
+			if current := modTime(file); current.Equal(lastModTime) {
 				continue
 			}
 		}
-		seen = modified(file)
+		lastModTime = modTime(file)
 		s, err := settings.LoadEdge(file)
 		if err != nil {
 			l.SettingsRefused(err)
@@ -98,9 +100,9 @@
 	}
 }
 
-// modified returns when a file was last written; zero when it cannot be seen,
-// which the next load reports.
-func modified(file string) time.Time {
+// modTime returns the modification time of a file. It returns the zero time if the
+// file cannot be examined; the next load reports the error.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/internal/cli/edgestatus.go
+++ b/internal/cli/edgestatus.go
@@ -16,27 +16,27 @@
 	"github.com/junctionfold/junctionfold/internal/edge"
 )
 
-// edgeMetrics is what of an edge VM's metrics its status shows; docs/operators/edge-metrics.md
-// says what each is.
+// edgeMetrics holds the metrics of an edge VM that edge-status shows. They are
+// described in docs/operators/edge-metrics.md.
 type edgeMetrics struct {
-	ConfigVersion int64                          `json:"config_version"`
-	VMs           int64                          `json:"fleet_vms"`
-	Open          int64                          `json:"open_requests"`
-	FeedEra       int64                          `json:"feed_era"`
-	FeedRevision  int64                          `json:"feed_revision"`
-	FeedAge       int64                          `json:"feed_age_ms"`
-	Proven        int64                          `json:"feed_proven_ms"`
-	KeysWithin    int64                          `json:"keys_within_ms"`
-	PlainWaiting  int64                          `json:"plain_waiting"`
-	PlainRunning  int64                          `json:"plain_running"`
-	PlainLimit    int64                          `json:"plain_limit"`
-	Waiting       int64                          `json:"scheduler_waiting"`
-	Loads         int64                          `json:"adapter_loads"`
-	LoadsLimit    int64                          `json:"adapter_loads_limit"`
-	Suspect       int64                          `json:"contents_suspect"`
-	Teams         map[string]edge.TeamAccount    `json:"teams"`
-	Held          map[string]edge.BlockedContent `json:"held_contents"`
-	RateLimits    map[string]float64             `json:"rate_limits"`
+	ConfigVersion     int64                          `json:"config_version"`
+	FleetVMs          int64                          `json:"fleet_vms"`
+	OpenRequests      int64                          `json:"open_requests"`
+	FeedEpoch         int64                          `json:"feed_era"`
+	FeedRevision      int64                          `json:"feed_revision"`
+	FeedAgeMs         int64                          `json:"feed_age_ms"`
+	FeedConfirmedMs   int64                          `json:"feed_proven_ms"`
+	KeyAgeLimitMs     int64                          `json:"keys_within_ms"`
+	PlainWaiting      int64                          `json:"plain_waiting"`
+	PlainRunning      int64                          `json:"plain_running"`
+	PlainLimit        int64                          `json:"plain_limit"`
+	SchedulerWaiting  int64                          `json:"scheduler_waiting"`
+	AdapterLoads      int64                          `json:"adapter_loads"`
+	AdapterLoadsLimit int64                          `json:"adapter_loads_limit"`
+	SuspectContents   int64                          `json:"contents_suspect"`
+	Teams             map[string]edge.TeamAccount    `json:"teams"`
+	BlockedContents   map[string]edge.BlockedContent `json:"held_contents"`
+	RateLimits        map[string]float64             `json:"rate_limits"`
 }
 
 func edgeStatusCommand() *cobra.Command {
@@ -45,13 +45,13 @@
 	cmd.Flags().StringVar(&address, "metrics", "http://127.0.0.1:9403", "URL of the VM's metrics")
 	asJSON := jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		body, err := askVM(cmd.Context(), address, "", nil)
+		body, err := getFromVM(cmd.Context(), address, "", nil)
 		if err != nil {
 			return err
 		}
 		var m edgeMetrics
 		if err := json.Unmarshal(body, &m); err != nil {
-			return errors.Wrap(err, "read the VM's metrics")
+			return errors.Wrap(err, "decode the VM's metrics")
 		}
 		if *asJSON {
 			return writeJSONLine(cmd.OutOrStdout(), m)
@@ -63,7 +63,7 @@
 
 func (m *edgeMetrics) print(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "configuration %d, %d VMs, %d requests open\ncopy of the store: era %d, revision %d, known current %d ms ago, proven %s\nmodels: %d wait, %d of %d loads under way\nplain: %d wait, %d of %d run\n\n",
-		m.ConfigVersion, m.VMs, m.Open, m.FeedEra, m.FeedRevision, m.FeedAge, m.proof(), m.Waiting, m.Loads, m.LoadsLimit, m.PlainWaiting, m.PlainRunning, m.PlainLimit)
+		m.ConfigVersion, m.FleetVMs, m.OpenRequests, m.FeedEpoch, m.FeedRevision, m.FeedAgeMs, m.confirmation(), m.SchedulerWaiting, m.AdapterLoads, m.AdapterLoadsLimit, m.PlainWaiting, m.PlainRunning, m.PlainLimit)
 	if err != nil {
 		return err
 	}
@@ -79,18 +79,18 @@
 	if err := m.printRateLimits(w); err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(w, "\ncontents: %d suspect, %d held\n", m.Suspect, len(m.Held)); err != nil || len(m.Held) == 0 {
+	if _, err := fmt.Fprintf(w, "\ncontents: %d suspect, %d held\n", m.SuspectContents, len(m.BlockedContents)); err != nil || len(m.BlockedContents) == 0 {
 		return err
 	}
 	return table(w, "CONTENT\tHELD FOR\tSINCE\tTARGETS THAT ENDED", func(t *tabwriter.Writer) {
-		for _, digest := range slices.Sorted(maps.Keys(m.Held)) {
-			h := m.Held[digest]
-			fmt.Fprintf(t, "%s\t%v\t%v\t%s\n", digest, milliseconds(h.LeftMs), milliseconds(h.SinceMs), strings.Join(h.Targets, ","))
+		for _, digest := range slices.Sorted(maps.Keys(m.BlockedContents)) {
+			blocked := m.BlockedContents[digest]
+			fmt.Fprintf(t, "%s\t%v\t%v\t%s\n", digest, milliseconds(blocked.LeftMs), milliseconds(blocked.SinceMs), strings.Join(blocked.Targets, ","))
 		}
 	})
 }
 
-// printRateLimits lists the targets that limit the rate of their requests.
+// printRateLimits prints the targets that limit their request rate.
 func (m *edgeMetrics) printRateLimits(w io.Writer) error {
 	if len(m.RateLimits) == 0 {
 		return nil
@@ -102,15 +102,16 @@
 	})
 }
 
-// proof is the bound on the copy's age against that up to which keys are judged.
-func (m *edgeMetrics) proof() string {
-	if m.KeysWithin == 0 {
-		return fmt.Sprintf("%d ms ago; no bound for keys", m.Proven)
+// confirmation describes the bound on the age of the VM's copy of the store. If there
+// is a limit on that age up to which API keys can be checked, it compares the two.
+func (m *edgeMetrics) confirmation() string {
+	if m.KeyAgeLimitMs == 0 {
+		return fmt.Sprintf("%d ms ago; no bound for keys", m.FeedConfirmedMs)
 	}
-	if m.Proven > m.KeysWithin {
-		return fmt.Sprintf("%d ms ago, of %d allowed: keys cannot be judged", m.Proven, m.KeysWithin)
+	if m.FeedConfirmedMs > m.KeyAgeLimitMs {
+		return fmt.Sprintf("%d ms ago, of %d allowed: keys cannot be judged", m.FeedConfirmedMs, m.KeyAgeLimitMs)
 	}
-	return fmt.Sprintf("%d ms ago, of %d allowed for keys", m.Proven, m.KeysWithin)
+	return fmt.Sprintf("%d ms ago, of %d allowed for keys", m.FeedConfirmedMs, m.KeyAgeLimitMs)
 }
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/cli/explainlog.go
+++ b/internal/cli/explainlog.go
@@ -30,13 +30,15 @@
 			if id == "" {
 				return printCauses(cmd.OutOrStdout(), explain.Causes(lines))
 			}
-			return printStory(cmd.OutOrStdout(), lines, id)
+			return printExplainedRequest(cmd.OutOrStdout(), lines, id)
 		},
 	}
 	cmd.Flags().StringVar(&id, "id", "", "id of the request")
 	return cmd
 }
 
+// readLogs reads events from the named files, or from in if there are none, and sorts
+// them by time. It also returns the number of lines that are not events.
 func readLogs(in io.Reader, files []string) (lines []explain.Line, skipped int, err error) {
 	if len(files) == 0 {
 		lines, skipped, err = explain.Read(in)
@@ -58,7 +60,7 @@
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "open log")
 	}
-	defer func() { _ = f.Close() }() // only read
+	defer func() { _ = f.Close() }() // the file is only read
 	return explain.Read(f)
 }
 
@@ -78,12 +80,14 @@
 	return nil
 }
 
-func printStory(w io.Writer, lines []explain.Line, id string) error {
-	s, err := explain.Explain(lines, id)
+// printExplainedRequest prints the events that concern a request, in order of time,
+// and the conclusion. Lines of the request itself are marked with an asterisk.
+func printExplainedRequest(w io.Writer, lines []explain.Line, id string) error {
+	explanation, err := explain.Explain(lines, id)
 	if err != nil {
 		return err
 	}
-	all := append(append([]explain.Line(nil), s.RelatedLines...), s.RequestLines...)
+	all := append(append([]explain.Line(nil), explanation.RelatedLines...), explanation.RequestLines...)
 	explain.Sort(all)
 	for _, l := range all {
 		mark := " "
@@ -94,6 +98,6 @@
 			return err
 		}
 	}
-	_, err = fmt.Fprintln(w, s.Conclusion)
+	_, err = fmt.Fprintln(w, explanation.Conclusion)
 	return err
 }
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			if err := writeNew(args[1], private, 0o600); err != nil {
+			if err := writeNewFile(args[1], private, 0o600); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), public)
@@ -38,7 +38,7 @@
 	}
 }
 
-// Names of the authority's files in its directory.
+// File names of the certificate authority's certificate and private key.
 const (
 	authorityCert = "ca.pem"
 	authorityKey  = "ca.key"
@@ -54,19 +54,19 @@
 			if err != nil {
 				return err
 			}
-			return writePair(args[0], authorityCert, authorityKey, pair)
+			return writeKeyPair(args[0], authorityCert, authorityKey, pair)
 		},
 	}
 }
 
-func writePair(dir, certName, keyName string, p certs.Pair) error {
+func writeKeyPair(dir, certName, keyName string, p certs.Pair) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return errors.Wrap(err, "make directory")
 	}
-	if err := writeNew(filepath.Join(dir, certName), p.Cert, 0o644); err != nil {
+	if err := writeNewFile(filepath.Join(dir, certName), p.Cert, 0o644); err != nil {
 		return err
 	}
-	return writeNew(filepath.Join(dir, keyName), p.Key, 0o600)
+	return writeNewFile(filepath.Join(dir, keyName), p.Key, 0o600)
 }
 
 func keysVM() *cobra.Command {
@@ -75,7 +75,7 @@
 		Short: "Make a VM's certificate with the authority in DIR",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			authority, err := readPair(args[0])
+			authority, err := readAuthority(args[0])
 			if err != nil {
 				return err
 			}
@@ -87,12 +87,12 @@
 			if err != nil {
 				return err
 			}
-			return writePair(args[0], args[1]+".pem", args[1]+".key", pair)
+			return writeKeyPair(args[0], args[1]+".pem", args[1]+".key", pair)
 		},
 	}
 }
 
-func readPair(dir string) (certs.Pair, error) {
+func readAuthority(dir string) (certs.Pair, error) {
 	cert, err := os.ReadFile(filepath.Join(dir, authorityCert))
 	if err != nil {
 		return certs.Pair{}, errors.Wrap(err, "read authority")
@@ -101,12 +101,12 @@
 	return certs.Pair{Cert: cert, Key: key}, errors.Wrap(err, "read authority's key")
 }
 
-func parseIPs(texts []string) ([]net.IP, error) {
+func parseIPs(addresses []string) ([]net.IP, error) {
 	var out []net.IP
-	for _, t := range texts {
-		ip := net.ParseIP(t)
+	for _, a := range addresses {
+		ip := net.ParseIP(a)
 		if ip == nil {
-			return nil, errors.Newf("%q is not an IP number", t)
+			return nil, errors.Newf("%q is not an IP address", a)
 		}
 		out = append(out, ip)
 	}
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -9,7 +9,7 @@
 	"github.com/junctionfold/junctionfold/internal/dev"
 )
 
-// Operator runs the operators' command line.
+// Operator runs the operators' command line and returns the exit code.
 func Operator(args []string, in io.Reader, out, errOut io.Writer) int {
 	root := &cobra.Command{
 		Use:   "junctionctl",
@@ -47,6 +47,7 @@
 	return cmd
 }
 
+// runChecks runs the cluster's checks and prints the result of each.
 func runChecks(cmd *cobra.Command, c *dev.Cluster, asJSON bool) error {
 	out := cmd.OutOrStdout()
 	ok := c.Check(cmd.Context(), func(r dev.CheckResult) {
@@ -54,18 +55,19 @@
 			_ = writeJSONLine(out, r)
 			return
 		}
-		word := "ok"
+		outcome := "ok"
 		if !r.OK {
-			word = "FAILED"
+			outcome = "FAILED"
 		}
-		fmt.Fprintf(out, "%-6s %-36s %5d ms  %s\n", word, r.Name, r.TookMs, r.Detail)
+		fmt.Fprintf(out, "%-6s %-36s %5d ms  %s\n", outcome, r.Name, r.TookMs, r.Detail)
 	})
 	if !ok {
-		return errQuiet
+		return errReported
 	}
 	return nil
 }
 
+// runUntilInterrupted prints the cluster's addresses and waits for SIGINT or SIGTERM.
 func runUntilInterrupted(cmd *cobra.Command, c *dev.Cluster) error {
 	out := cmd.OutOrStdout()
 	for _, vm := range c.VMs {
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -15,18 +15,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// daemonArgs names the variable that makes this test program run as the daemon, with
-// the arguments in it.
-const daemonArgs = "JUNCTIONFOLD_TEST_DAEMON"
+// daemonArgsVariable is the environment variable that makes the test binary run as the
+// daemon. Its value holds the daemon's arguments.
+const daemonArgsVariable = "JUNCTIONFOLD_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
-	if args := os.Getenv(daemonArgs); args != "" {
+	if args := os.Getenv(daemonArgsVariable); args != "" {
 		os.Exit(Daemon(strings.Fields(args), os.Stdin, os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// freeAddress returns an address of loopback that nothing listens on.
+// freeAddress returns a loopback address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,8 @@
 	return l.Addr().String()
 }
 
-// edgeTemplate is the settings of an edge VM; the addresses are filled in.
+// edgeTemplate is the settings file of an edge VM with placeholders for its
+// addresses.
 const edgeTemplate = `
 [vm]
 id = vm-1
@@ -61,7 +62,8 @@
 load_over = 1.1
 `
 
-// edgeSettings writes the settings of an edge VM whose store is away.
+// edgeSettings writes the settings file of an edge VM whose store is unreachable and
+// returns its path.
 func edgeSettings(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "edge.ini")
@@ -70,27 +72,28 @@
 	return file
 }
 
-// startEdge starts the edge role as a process of its own and returns its log.
+// startEdge starts the edge role in a separate process and returns the command and
+// a scanner of its log.
 func startEdge(t *testing.T) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
-	// A test run may ignore SIGHUP, and a process inherits that. One that its parent
-	// handles is at its default in the child.
+	// The test process may ignore SIGHUP, and a child process inherits ignored
+	// signals. A signal that the parent handles has its default action in the child.
 	handled := make(chan os.Signal, 1)
 	signal.Notify(handled, syscall.SIGHUP)
 	defer signal.Stop(handled)
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	assert.NilError(t, err)
-	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), daemonArgs+"=edge --settings "+edgeSettings(t))
+	cmd := exec.Command(executable)
+	cmd.Env = append(os.Environ(), daemonArgsVariable+"=edge --settings "+edgeSettings(t))
 	cmd.Stderr = os.Stderr
 	out, err := cmd.StdoutPipe()
 	assert.NilError(t, err)
 	assert.NilError(t, cmd.Start())
-	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it has ended, unless the test failed
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // still running only if the test failed
 	return cmd, bufio.NewScanner(out)
 }
 
-// readUntil reads the log up to the line of an event.
+// readUntil reads the log up to and including the line of an event.
 func readUntil(t *testing.T, lines *bufio.Scanner, event string) {
 	t.Helper()
 	for lines.Scan() {
@@ -98,11 +101,12 @@
 			return
 		}
 	}
-	t.Fatalf("the process ended before it logged %s", event)
+	t.Fatalf("the process exited before it logged %s", event)
 }
 
-// TestHangupWhileDraining sends SIGHUP to a VM that drains: it must go on until its
-// requests have ended or its grace is over, and end in order.
+// TestHangupWhileDraining guards against SIGHUP terminating a VM that drains. The VM
+// must continue until its requests have ended or its grace period is over, and exit
+// without an error.
 func TestHangupWhileDraining(t *testing.T) {
 	cmd, lines := startEdge(t)
 	readUntil(t, lines, "started")
@@ -111,7 +115,7 @@
 	assert.NilError(t, cmd.Process.Signal(syscall.SIGHUP))
 	readUntil(t, lines, "stopped")
 	for lines.Scan() {
-		continue // a full pipe would hold the process up
+		continue // a full pipe would block the process
 	}
 	assert.NilError(t, cmd.Wait())
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -18,7 +18,7 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// standinFlags shape the stand-ins.
+// standinFlags holds the flags of the standin command.
 type standinFlags struct {
 	listen     string
 	vms        []string
@@ -46,8 +46,10 @@
 	return cmd
 }
 
+// runStandins serves the stand-ins of a built bundle until the context ends or one of
+// them fails.
 func runStandins(cmd *cobra.Command, dir string, f standinFlags) error {
-	b, err := readBuilt(dir)
+	b, err := readBuiltBundle(dir)
 	if err != nil {
 		return err
 	}
@@ -95,17 +97,19 @@
 	return standin.NewEngine(cfg)
 }
 
-// serveLoopback serves h until the context ends. Stand-ins are for one machine.
+// serveLoopback listens on address and serves h in the background until ctx ends. It
+// sends an error of the server to failed. Only loopback addresses are accepted,
+// because stand-ins are for use on a single machine.
 func serveLoopback(ctx context.Context, address string, h http.Handler, failed chan<- error) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	if at, ok := l.Addr().(*net.TCPAddr); !ok || !at.IP.IsLoopback() {
+	if addr, ok := l.Addr().(*net.TCPAddr); !ok || !addr.IP.IsLoopback() {
 		_ = l.Close()
 		return errors.Newf("%s is not a loopback address", address)
 	}
-	s := &http.Server{Handler: h, ReadHeaderTimeout: askTimeout}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: requestTimeout}
 	context.AfterFunc(ctx, func() { _ = s.Close() })
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -115,7 +119,7 @@
 	return nil
 }
 
-// readValues reads the configuration service's values from a built bundle.
+// readValues reads the values of a built bundle, by their configuration service key.
 func readValues(dir string) (map[string][]byte, error) {
 	out := map[string][]byte{}
 	root := filepath.Join(dir, filepath.Dir(filepath.FromSlash(bundle.ManifestKey)))
@@ -134,12 +138,13 @@
 	return out, errors.Wrap(err, "read built bundle")
 }
 
-func parseVMs(texts []string) ([]standin.VM, error) {
+// parseVMs parses the values of the flag --vm.
+func parseVMs(values []string) ([]standin.VM, error) {
 	var out []standin.VM
-	for _, t := range texts {
-		parts := strings.Split(t, "=")
+	for _, value := range values {
+		parts := strings.Split(value, "=")
 		if len(parts) != 3 {
-			return nil, errors.Newf("%q is not id=hall=peer-address", t)
+			return nil, errors.Newf("%q is not id=hall=peer-address", value)
 		}
 		out = append(out, standin.VM{ID: parts[0], Zone: parts[1], Address: parts[2], State: "live"})
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -22,10 +22,10 @@
 // tokenVariable is the environment variable with the operators' token.
 const tokenVariable = "JUNCTIONFOLD_TOKEN"
 
-// askTimeout bounds one question to a VM.
-const askTimeout = 10 * time.Second
+// requestTimeout bounds each request to a VM.
+const requestTimeout = 10 * time.Second
 
-// vmFlags say which VM a command asks.
+// vmFlags holds the flags that select the VM to query.
 type vmFlags struct {
 	address string
 	token   string
@@ -36,29 +36,32 @@
 	cmd.Flags().StringVar(&f.token, "token", os.Getenv(tokenVariable), "operators' token; or set "+tokenVariable)
 }
 
-// ask gets a message from the VM and returns its JSON too.
-func (f *vmFlags) ask(ctx context.Context, path string, query map[string]string, into proto.Message) ([]byte, error) {
-	body, err := askVM(ctx, strings.TrimSuffix(f.address, "/")+path, f.token, query)
+// get queries the VM, decodes the response into a message and also returns the
+// response's JSON.
+func (f *vmFlags) get(ctx context.Context, path string, query map[string]string, into proto.Message) ([]byte, error) {
+	body, err := getFromVM(ctx, strings.TrimSuffix(f.address, "/")+path, f.token, query)
 	if err != nil {
 		return nil, err
 	}
-	return body, errors.Wrap(protojson.Unmarshal(body, into), "read the VM's answer")
+	return body, errors.Wrap(protojson.Unmarshal(body, into), "decode the VM's response")
 }
 
-// askVM gets what a VM answers at a URL; token may be empty.
-func askVM(ctx context.Context, url, token string, query map[string]string) ([]byte, error) {
-	resp, err := resty.New().SetTimeout(askTimeout).R().SetContext(ctx).
+// getFromVM sends a GET request to a URL of a VM and returns the response body. An
+// empty token is allowed.
+func getFromVM(ctx context.Context, url, token string, query map[string]string) ([]byte, error) {
+	resp, err := resty.New().SetTimeout(requestTimeout).R().SetContext(ctx).
 		SetAuthToken(token).SetQueryParams(query).Get(url)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask the VM")
+		return nil, errors.Wrap(err, "send request to the VM")
 	}
 	if resp.IsError() {
-		return nil, errors.Newf("the VM answered %s: %s", resp.Status(), strings.TrimSpace(resp.String()))
+		return nil, errors.Newf("the VM responded with %s: %s", resp.Status(), strings.TrimSpace(resp.String()))
 	}
 	return resp.Body(), nil
 }
 
-// vmCommand makes a command that asks a VM and prints the answer.
+// vmCommand returns a command that queries a VM at path and prints the response: as
+// JSON with --json, otherwise with print after the response is decoded into into.
 func vmCommand(use, short string, args cobra.PositionalArgs, path string, query func([]string) map[string]string,
 	into proto.Message, print func(io.Writer) error) *cobra.Command {
 	var f vmFlags
@@ -66,7 +69,7 @@
 	f.add(cmd)
 	asJSON := jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		raw, err := f.ask(cmd.Context(), path, query(args), into)
+		raw, err := f.get(cmd.Context(), path, query(args), into)
 		if err != nil {
 			return err
 		}
@@ -87,6 +90,7 @@
 		func(w io.Writer) error { return printStatus(w, s) })
 }
 
+// table writes a table with aligned columns. rows writes tab-separated rows.
 func table(w io.Writer, header string, rows func(*tabwriter.Writer)) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, header)
@@ -108,9 +112,9 @@
 	}
 	fmt.Fprintln(w)
 	return table(w, "TARGET\tSTATE\tFENCE\tRUNNING\tQUEUED\tHELD BY\tRESIDENT", func(t *tabwriter.Writer) {
-		for _, o := range s.Targets {
-			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\t%s\n", o.Target, o.State, o.Fence, o.Running, o.Queued,
-				strings.Join(o.Holds, ","), strings.Join(o.Resident, ","))
+		for _, target := range s.Targets {
+			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\t%s\n", target.Target, target.State, target.Fence, target.Running, target.Queued,
+				strings.Join(target.Holds, ","), strings.Join(target.Resident, ","))
 		}
 	})
 }
@@ -128,11 +132,11 @@
 	}
 	return table(w, "TARGET\tHALL\tOWNER\tPLACE\tSCORE\tREMOVED BY", func(t *tabwriter.Writer) {
 		for _, c := range e.Candidates {
-			place, score := "-", "-"
+			rank, score := "-", "-"
 			if c.RemovedBy == "" {
-				place, score = fmt.Sprint(c.Rank), fmt.Sprintf("%.2f", c.Score)
+				rank, score = fmt.Sprint(c.Rank), fmt.Sprintf("%.2f", c.Score)
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", c.Target, c.Hall, c.Owner, place, score, c.RemovedBy)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", c.Target, c.Hall, c.Owner, rank, score, c.RemovedBy)
 		}
 	})
 }
@@ -146,8 +150,8 @@
 func printAudit(w io.Writer, a *schema.AuditTrail) error {
 	return table(w, "TIME\tVM\tACTOR\tSUBJECT\tOLD\tNEW\tCOMMENT", func(t *tabwriter.Writer) {
 		for _, e := range a.Events {
-			at := time.UnixMilli(e.UnixMs).UTC().Format("2006-01-02T15:04:05.000Z")
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", at, e.Vm, e.Actor, e.Subject, e.Old, e.New, e.Comment)
+			timestamp := time.UnixMilli(e.UnixMs).UTC().Format("2006-01-02T15:04:05.000Z")
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", timestamp, e.Vm, e.Actor, e.Subject, e.Old, e.New, e.Comment)
 		}
 	})
 }
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole fleet in one process on loopback addresses: stand-ins
-// for everything outside, and some VMs. It serves the dev command and the
-// end-to-end tests.
+// Package dev runs a complete cluster in a single process on loopback addresses: some
+// VMs, and stand-ins for the platform, the weight store and all targets. It is used
+// by the dev command and the end-to-end tests.
 package dev
 
 import (
@@ -20,28 +20,32 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// Options shape a cluster. The zero value is filled with defaults.
+// Options configures a cluster. Start replaces zero values of VMs, LoadTime, Log and
+// Level with defaults.
 type Options struct {
-	// VMs is how many VMs run.
+	// VMs is the number of VMs.
 	VMs int
-	// LoadTime of one adapter, TokenTime of one token, at the stand-ins.
+	// LoadTime is the time that a stand-in takes to load an adapter, and TokenTime
+	// the time that it takes to generate a token.
 	LoadTime  time.Duration
 	TokenTime time.Duration
-	// Log is where the VMs' events go; nil for nowhere.
+	// Log receives the VMs' events. They are discarded if it is nil.
 	Log   io.Writer
 	Level string
-	// DrainMs is how long a VM keeps its door open when it stops.
+	// DrainMs is the time in milliseconds for which a stopping VM accepts requests
+	// after it has reported that it is not ready.
 	DrainMs int64
-	// ModifyBundle alters the example bundle before it is published.
+	// ModifyBundle, if set, changes the example bundle before it is published.
 	ModifyBundle func(*schema.Bundle)
-	// TLSDir is where certificates are written when VMs use TLS; empty for no
-	// TLS.
+	// TLSDir is the directory for the VMs' certificates. If it is empty, the VMs do
+	// not use TLS.
 	TLSDir string
-	// Dial returns how a VM reaches others; nil for TCP.
+	// Dial returns the function with which a VM dials other VMs. If Dial is nil, VMs
+	// dial over TCP.
 	Dial func(vm string) node.DialFunc
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.VMs == 0 {
 		o.VMs = 3
 	}
@@ -56,17 +60,19 @@
 	}
 }
 
-// Secrets of a development cluster.
+// Secrets and key ID of a development cluster. OperatorToken authorizes requests to
+// the operators' interfaces, and orderToken authorizes orders to engines.
 const (
 	OperatorToken = "dev-operator"
 	orderToken    = "dev-orders"
 	keyID         = "dev"
 )
 
-// halls are those of the example bundle.
-var halls = []string{"glostrup-hal", "roskilde-hal", "koege-hal"}
+// zones are the availability zones of the example bundle. VMs are assigned to them in
+// turn.
+var zones = []string{"glostrup-hal", "roskilde-hal", "koege-hal"}
 
-// Cluster is a running fleet with its stand-ins.
+// Cluster is a set of running VMs and their stand-ins.
 type Cluster struct {
 	Platform *standin.Platform
 	Weights  *standin.WeightStore
@@ -74,20 +80,21 @@
 	Services map[string]*standin.Service
 	VMs      []*VM
 
-	opts    Options
-	bundle  *schema.Bundle
-	version uint64
-	private []byte
-	public  string
-	servers []*http.Server
+	opts       Options
+	bundle     *schema.Bundle
+	version    uint64
+	privateKey []byte
+	publicKey  string
+	servers    []*http.Server
 
-	authority certs.Pair
-	base      string
+	authority   certs.Pair
+	platformURL string
 }
 
-// Start brings up a cluster and waits until every VM is ready.
+// Start starts a cluster and waits until every VM is ready and every engine has an
+// owner. It returns an error if that takes longer than 20 seconds.
 func Start(opts Options) (*Cluster, error) {
-	opts.fill()
+	opts.setDefaults()
 	c := &Cluster{
 		Platform: standin.NewPlatform(), Weights: standin.NewWeightStore(opts.LoadTime),
 		Engines: map[string]*standin.Engine{}, Services: map[string]*standin.Service{}, opts: opts,
@@ -101,14 +108,14 @@
 
 func (c *Cluster) start() error {
 	var err error
-	if c.private, c.public, err = bundle.NewKey(keyID); err != nil {
+	if c.privateKey, c.publicKey, err = bundle.NewKey(keyID); err != nil {
 		return err
 	}
 	address, err := c.serve(c.Platform)
 	if err != nil {
 		return err
 	}
-	c.base = "http://" + address
+	c.platformURL = "http://" + address
 	if err := c.startTargets(); err != nil {
 		return err
 	}
@@ -127,9 +134,10 @@
 	return c.WaitReady(readyTimeout)
 }
 
-// readyTimeout bounds the start of a cluster.
+// readyTimeout bounds the time until a new cluster is ready.
 const readyTimeout = 20 * time.Second
 
+// serve starts an HTTP server on a free loopback port and returns its address.
 func (c *Cluster) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,8 +149,8 @@
 	return l.Addr().String(), nil
 }
 
-// startTargets starts a stand-in for each target of the example bundle and puts
-// its address there.
+// startTargets starts a stand-in for each target of the example bundle and sets the
+// target's address in the bundle.
 func (c *Cluster) startTargets() error {
 	src, err := bundle.Parse("example.ini", []byte(bundle.Example))
 	if err != nil {
@@ -153,14 +161,16 @@
 		c.opts.ModifyBundle(c.bundle)
 	}
 	for _, t := range c.bundle.Targets {
-		if t.Address, err = c.serve(c.target(t)); err != nil {
+		if t.Address, err = c.serve(c.newStandin(t)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Cluster) target(t *schema.Target) http.Handler {
+// newStandin returns a stand-in for a target and registers it in c.Services or
+// c.Engines.
+func (c *Cluster) newStandin(t *schema.Target) http.Handler {
 	if t.Kind == schema.TargetKind_TARGET_KIND_SERVICE {
 		s := standin.NewService()
 		c.Services[t.Name] = s
@@ -178,13 +188,14 @@
 	return e
 }
 
-// Bundle returns the bundle published last. Change it and Publish again.
+// Bundle returns the bundle that was published last. Callers may modify it and call
+// Publish again.
 func (c *Cluster) Bundle() *schema.Bundle { return c.bundle }
 
 // Publish signs the bundle as the next version and publishes it.
 func (c *Cluster) Publish() error {
 	c.version++
-	values, err := SignedValues(c.bundle, c.version, c.private)
+	values, err := SignedValues(c.bundle, c.version, c.privateKey)
 	if err != nil {
 		return err
 	}
@@ -192,10 +203,10 @@
 	return nil
 }
 
-// Version returns the version published last.
+// Version returns the bundle version that was published last.
 func (c *Cluster) Version() uint64 { return c.version }
 
-// PublishVMs publishes the list of all VMs as live, but for those left out.
+// PublishVMs publishes a VM list with all VMs except the given ones, as live.
 func (c *Cluster) PublishVMs(except ...*VM) {
 	list := make([]standin.VM, 0, len(c.VMs))
 	for _, vm := range c.VMs {
@@ -207,19 +218,22 @@
 	c.Platform.SetVMs(list)
 }
 
-// WaitReady waits until every VM has the newest bundle and every engine has an
-// owner that serves it.
-func (c *Cluster) WaitReady(limit time.Duration) error {
-	deadline := time.Now().Add(limit)
+// WaitReady waits until every VM is ready, has the newest bundle and has synchronized
+// its outcome records, and until every engine has an owner that serves it and no other
+// VM may still use it under an older fencing token. It returns an error if this takes
+// longer than timeout.
+func (c *Cluster) WaitReady(timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		if c.ready() {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return errors.Newf("the cluster was not ready within %s", limit)
+	return errors.Newf("the cluster was not ready within %s", timeout)
 }
 
+// ready reports whether the conditions of WaitReady are met.
 func (c *Cluster) ready() bool {
 	serving := 0
 	for _, vm := range c.VMs {
@@ -236,7 +250,7 @@
 	return serving >= len(c.Engines)
 }
 
-// Close stops everything.
+// Close drains and stops all VMs, and then closes the stand-ins.
 func (c *Cluster) Close() {
 	var wg sync.WaitGroup
 	for _, vm := range c.VMs {
--- a/internal/dev/engine_faults_test.go
+++ b/internal/dev/engine_faults_test.go
@@ -13,21 +13,23 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// setFaults sets the same switches on every engine.
+// setFaults injects the same faults into every engine.
 func (c *Cluster) setFaults(f standin.EngineFaults) {
 	for _, e := range c.Engines {
 		e.SetFaults(f)
 	}
 }
 
-// TestEngineFaultTable shows what a caller gets for each fault of an engine.
+// TestEngineFaultTable checks the response that a caller receives for each fault of an
+// engine.
 func TestEngineFaultTable(t *testing.T) {
 	const model = "weather-brief@v1"
 	for _, row := range []struct {
 		name   string
 		faults standin.EngineFaults
 		stream bool
-		// status is the answer's; zero means that the connection is aborted.
+		// status is the HTTP status of the response. Zero means that the connection
+		// is aborted.
 		status int
 		code   string
 		notRun string
@@ -37,16 +39,16 @@
 		{name: "a stream is cut and resumed", faults: standin.EngineFaults{TruncateStreams: 1, TruncateAfterEvents: 2}, stream: true, status: http.StatusOK},
 		{name: "a stream is cut before its first event", faults: standin.EngineFaults{TruncateStreams: 1, NoResume: true}, stream: true, status: http.StatusBadGateway, code: "answer_cut", notRun: "unknown"},
 		{name: "a stream is cut and cannot be resumed", faults: standin.EngineFaults{TruncateStreams: 1, TruncateAfterEvents: 2, NoResume: true}, stream: true},
-		{name: "whole answer of another adapter", faults: standin.EngineFaults{WrongAdapter: true}, status: http.StatusBadGateway, code: "wrong_adapter_answered", notRun: "unknown"},
+		{name: "response of another adapter", faults: standin.EngineFaults{WrongAdapter: true}, status: http.StatusBadGateway, code: "wrong_adapter_answered", notRun: "unknown"},
 		{name: "stream of another adapter", faults: standin.EngineFaults{WrongAdapter: true}, stream: true, status: http.StatusBadGateway, code: "wrong_adapter_answered", notRun: "unknown"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			c, _ := startFleet(t, Options{TokenTime: time.Millisecond})
+			c, _ := startTestCluster(t, Options{TokenTime: time.Millisecond})
 			c.setFaults(row.faults)
 			r, err := Post(t.Context(), c.VMs[0].FrontendURL()+chatPath, ChatBody(model, "clear or snow", row.stream), nil)
 			if row.status == 0 {
 				assert.ErrorContains(t, err, "EOF")
-				c.assertPromises(t)
+				c.assertGuarantees(t)
 				return
 			}
 			assert.NilError(t, err)
@@ -59,35 +61,35 @@
 			} else if row.stream {
 				text, err := StreamText(r.body)
 				assert.NilError(t, err)
-				assert.Equal(t, text, expected(model, "clear or snow"))
+				assert.Equal(t, text, expectedText(model, "clear or snow"))
 			}
-			c.assertPromises(t)
+			c.assertGuarantees(t)
 		})
 	}
 }
 
-// TestLeavingEngine sends no new work to an engine that says it is leaving, once
-// its owner has read its report.
+// TestLeavingEngine checks that an engine that reports to be leaving receives no new
+// requests once its owner has read the report.
 func TestLeavingEngine(t *testing.T) {
-	c, _ := startFleet(t, Options{})
+	c, _ := startTestCluster(t, Options{})
 	const leaving = "glostrup-llm-1"
 	c.Engines[leaving].SetFaults(standin.EngineFaults{Leaving: true})
-	began := time.Now()
-	eventually(t, "the owner to stop sending", func() bool {
+	start := time.Now()
+	eventually(t, "the owner to stop sending requests", func() bool {
 		before := len(c.Engines[leaving].Runs())
 		for i, m := range c.models() {
 			assert.NilError(t, c.chat(t.Context(), i, m, "is it gone", false))
 		}
 		return len(c.Engines[leaving].Runs()) == before
 	})
-	t.Logf("no new work after %s", time.Since(began))
+	t.Logf("no new requests after %s", time.Since(start))
 }
 
-// TestServiceRunsOnce drops a call's answer after the service has run it. A call
-// that may not be repeated ends as unknown and is not sent again, with or without
-// a key; the key's repeat is not run either.
+// TestServiceRunsOnce drops the response to a call after the service has run it. A
+// call that is not idempotent ends with an unknown outcome and is not sent again, with
+// or without an idempotency key. A second call with the same key does not run either.
 func TestServiceRunsOnce(t *testing.T) {
-	c, _ := startFleet(t, Options{})
+	c, _ := startTestCluster(t, Options{})
 	service := c.Services["glostrup-app-1"]
 	for _, row := range []struct {
 		name string
@@ -97,7 +99,7 @@
 		{"with a key", "drop-1"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			// A first call leaves a connection open for the next to reuse.
+			// A first call leaves a connection open that the next call reuses.
 			_, err := Post(t.Context(), c.VMs[0].FrontendURL()+"/services/tickets/x", []byte("warm"), nil)
 			assert.NilError(t, err)
 			service.DropAfterRun(1)
@@ -118,18 +120,18 @@
 	}
 }
 
-// TestRetryKeepsTheDoubt repeats calls that may be repeated after one that ran and
-// lost its answer. The second instance cannot be reached; the first may still have
-// run, whichever was tried first.
-func TestRetryKeepsTheDoubt(t *testing.T) {
-	c, _ := startFleet(t, Options{})
+// TestRetryKeepsUnknownOutcome guards against a retry hiding that an earlier attempt may
+// have run. One instance runs an idempotent call and drops the response; the other is
+// unreachable. The outcome must be unknown, whichever instance is tried first.
+func TestRetryKeepsUnknownOutcome(t *testing.T) {
+	c, _ := startTestCluster(t, Options{})
 	c.Bundle().Targets = append(c.Bundle().Targets, &schema.Target{
 		Name: "glostrup-app-2", Kind: schema.TargetKind_TARGET_KIND_SERVICE, Service: "tickets",
 		Hall: "glostrup-hal", Address: freeAddress(t),
 	})
 	assert.NilError(t, c.Publish())
 	assert.NilError(t, c.WaitReady(readyTimeout))
-	eventually(t, "the second instance to be routed to", func() bool {
+	eventually(t, "the first VM to route to the second instance", func() bool {
 		return c.VMs[0].Node.Ready() && c.VMs[0].Node.Status().BundleVersion == c.Version()
 	})
 	for range 2 {
@@ -146,9 +148,10 @@
 	}
 }
 
-// TestKeyForTwoRequests refuses a key that was used for another request.
-func TestKeyForTwoRequests(t *testing.T) {
-	c, _ := startFleet(t, Options{})
+// TestIdempotencyKeyReusedForAnotherRequest checks that a call is refused if its
+// idempotency key was used for a different call.
+func TestIdempotencyKeyReusedForAnotherRequest(t *testing.T) {
+	c, _ := startTestCluster(t, Options{})
 	header := http.Header{"Idempotency-Key": {"twice"}}
 	for i, want := range []int{http.StatusOK, http.StatusUnprocessableEntity} {
 		r, err := Post(t.Context(), c.VMs[i].FrontendURL()+"/services/tickets/x", []byte{byte('a' + i)}, header)
--- a/internal/dev/openai_test.go
+++ b/internal/dev/openai_test.go
@@ -13,9 +13,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOpenAIClient drives the front door with the well-known Go client.
+// TestOpenAIClient checks that the OpenAI client library for Go works with the HTTP
+// interface for callers.
 func TestOpenAIClient(t *testing.T) {
-	c, _ := startFleet(t, Options{TokenTime: time.Millisecond})
+	c, _ := startTestCluster(t, Options{TokenTime: time.Millisecond})
 	client := openai.NewClient(
 		option.WithBaseURL(c.VMs[0].FrontendURL()+"/v1"), option.WithAPIKey("caller"), option.WithMaxRetries(0))
 	const model = "plough-notes@v2"
@@ -24,11 +25,11 @@
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("which road first")},
 	}
 
-	t.Run("chat whole", func(t *testing.T) {
+	t.Run("chat not streamed", func(t *testing.T) {
 		got, err := client.Chat.Completions.New(t.Context(), chat)
 		assert.NilError(t, err)
 		assert.Equal(t, got.Model, model)
-		assert.Equal(t, got.Choices[0].Message.Content, expected(model, "which road first"))
+		assert.Equal(t, got.Choices[0].Message.Content, expectedText(model, "which road first"))
 	})
 	t.Run("chat streamed", func(t *testing.T) {
 		stream := client.Chat.Completions.NewStreaming(t.Context(), chat)
@@ -39,28 +40,28 @@
 			text.WriteString(part.Choices[0].Delta.Content)
 		}
 		assert.NilError(t, stream.Err())
-		assert.Equal(t, text.String(), expected(model, "which road first"))
+		assert.Equal(t, text.String(), expectedText(model, "which road first"))
 	})
-	t.Run("completion whole and streamed", func(t *testing.T) {
+	t.Run("completion not streamed and streamed", func(t *testing.T) {
 		params := openai.CompletionNewParams{Model: model, Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("salt")}}
 		got, err := client.Completions.New(t.Context(), params)
 		assert.NilError(t, err)
-		assert.Equal(t, got.Choices[0].Text, expected(model, "salt"))
+		assert.Equal(t, got.Choices[0].Text, expectedText(model, "salt"))
 		stream := client.Completions.NewStreaming(t.Context(), params)
 		text := ""
 		for stream.Next() {
 			text += stream.Current().Choices[0].Text
 		}
 		assert.NilError(t, stream.Err())
-		assert.Equal(t, text, expected(model, "salt"))
+		assert.Equal(t, text, expectedText(model, "salt"))
 	})
 	t.Run("models", func(t *testing.T) {
-		page, err := client.Models.List(t.Context())
+		list, err := client.Models.List(t.Context())
 		assert.NilError(t, err)
-		assert.Equal(t, len(page.Data), len(c.models())+len(c.Bundle().Bases))
-		one, err := client.Models.Get(t.Context(), model)
+		assert.Equal(t, len(list.Data), len(c.models())+len(c.Bundle().Bases))
+		got, err := client.Models.Get(t.Context(), model)
 		assert.NilError(t, err)
-		assert.Equal(t, one.ID, model)
+		assert.Equal(t, got.ID, model)
 	})
 	t.Run("errors", func(t *testing.T) {
 		for _, row := range []struct {
--- a/internal/dev/pairs_test.go
+++ b/internal/dev/pairs_test.go
@@ -14,19 +14,19 @@
 	"github.com/junctionfold/junctionfold/internal/standin"
 )
 
-// fault is something that goes wrong for a while. begin causes it, end mends it.
+// fault is a temporary failure. inject causes it and clear ends it.
 type fault struct {
-	name  string
-	begin func(*testing.T, *Cluster, *Network)
-	end   func(*testing.T, *Cluster, *Network)
+	name   string
+	inject func(*testing.T, *Cluster, *Network)
+	clear  func(*testing.T, *Cluster, *Network)
 }
 
-// pairFaults are taken two at a time.
+// pairFaults are the faults that TestTwoFaultsAtOnce combines in pairs.
 var pairFaults = []fault{
 	{"crash of a VM",
 		func(_ *testing.T, c *Cluster, _ *Network) { c.VMs[1].Kill() },
 		func(t *testing.T, c *Cluster, _ *Network) { assert.NilError(t, c.Restart(c.VMs[1])) }},
-	{"cut of a VM",
+	{"partition of a VM",
 		func(_ *testing.T, _ *Cluster, n *Network) { n.Partition(map[string]int{"entry-3": 1}) },
 		func(_ *testing.T, _ *Cluster, n *Network) { n.Partition(map[string]int{}) }},
 	{"restart of all engines",
@@ -46,73 +46,76 @@
 		func(_ *testing.T, c *Cluster, _ *Network) { c.setFaults(standin.EngineFaults{}) }},
 }
 
-// tickets sends keyed calls, each twice and through two VMs, and remembers them.
-type tickets struct {
+// keyedCalls sends calls with an idempotency key, each twice and through different VMs,
+// and records their bodies, which must be unique.
+type keyedCalls struct {
 	sent sync.Map
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 }
 
-func (c *Cluster) startTickets(doors func() []string) *tickets {
+// startKeyedCalls starts three callers that send keyed calls to the URLs that frontends
+// returns.
+func (c *Cluster) startKeyedCalls(frontends func() []string) *keyedCalls {
 	ctx, cancel := context.WithCancel(context.Background())
-	k := &tickets{stop: cancel}
+	calls := &keyedCalls{stop: cancel}
 	for i := range 3 {
-		k.wg.Go(func() {
+		calls.wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				body := fmt.Sprintf("ticket %d of caller %d", n, i)
-				k.sent.Store(body, true)
-				urls := doors()
-				for try := range 2 {
-					url := urls[(i+n+try)%len(urls)] + "/services/tickets/jobs"
+				calls.sent.Store(body, true)
+				urls := frontends()
+				for attempt := range 2 {
+					url := urls[(i+n+attempt)%len(urls)] + "/services/tickets/jobs"
 					_, _ = Post(ctx, url, []byte(body), http.Header{"Idempotency-Key": {body}})
 				}
 			}
 		})
 	}
-	return k
+	return calls
 }
 
-// TestTwoFaultsAtOnce causes every two of the faults together under load, and
-// checks the promises while they last and after.
+// TestTwoFaultsAtOnce injects every pair of faults at the same time under load. Requests
+// must succeed during and after the faults, and all guarantees must hold.
 func TestTwoFaultsAtOnce(t *testing.T) {
 	for i, a := range pairFaults {
 		for _, b := range pairFaults[i+1:] {
 			t.Run(a.name+" and "+b.name, func(t *testing.T) {
 				t.Parallel()
-				runPair(t, a, b)
+				runFaultPair(t, a, b)
 			})
 		}
 	}
 }
 
-func runPair(t *testing.T, a, b fault) {
-	c, network := startFleet(t, Options{TokenTime: time.Millisecond})
+func runFaultPair(t *testing.T, a, b fault) {
+	c, network := startTestCluster(t, Options{TokenTime: time.Millisecond})
 	c.VMs[1].Settings.Platform.Seeds = []string{c.VMs[0].Settings.Peer.Listen}
-	urls := c.allDoors(new(atomic.Pointer[VM]))() // a VM starts anew at its address
-	doors := func() []string { return urls }
-	load := c.StartLoadGenerator(8, c.models(), doors)
-	keyed := c.startTickets(doors)
-	eventually(t, "answers before", func() bool { return load.OK.Load() > 30 })
-	a.begin(t, c, network)
-	b.begin(t, c, network)
+	urls := c.frontendURLs(new(atomic.Pointer[VM]))() // a VM restarts on the same address
+	frontends := func() []string { return urls }
+	load := c.StartLoadGenerator(8, c.models(), frontends)
+	keyed := c.startKeyedCalls(frontends)
+	eventually(t, "responses before the faults", func() bool { return load.OK.Load() > 30 })
+	a.inject(t, c, network)
+	b.inject(t, c, network)
 	before := load.OK.Load()
-	eventually(t, "answers while the faults last", func() bool { return load.OK.Load() > before+30 })
-	a.end(t, c, network)
-	b.end(t, c, network)
-	eventually(t, "every engine to have one owner", c.soleOwners)
+	eventually(t, "responses during the faults", func() bool { return load.OK.Load() > before+30 })
+	a.clear(t, c, network)
+	b.clear(t, c, network)
+	eventually(t, "every engine to have one owner", c.haveSoleOwners)
 	before = load.OK.Load()
-	eventually(t, "answers after", func() bool { return load.OK.Load() > before+30 })
+	eventually(t, "responses after the faults", func() bool { return load.OK.Load() > before+30 })
 	load.Stop()
 	keyed.stop()
 	keyed.wg.Wait()
 	t.Log(load)
 	assert.Equal(t, load.Wrong.Load(), int64(0), load.FirstWrong())
-	c.assertPromises(t)
-	count := 0
+	c.assertGuarantees(t)
+	calls := 0
 	keyed.sent.Range(func(body, _ any) bool {
-		count++
+		calls++
 		assert.Assert(t, c.Services["glostrup-app-1"].Runs(body.(string)) <= 1, "%s ran more than once", body)
 		return true
 	})
-	t.Logf("%d keyed calls, each sent twice, none ran twice", count)
+	t.Logf("%d keyed calls, each sent twice, none ran twice", calls)
 }
--- a/internal/dev/partition.go
+++ b/internal/dev/partition.go
@@ -10,55 +10,56 @@
 	"github.com/junctionfold/junctionfold/internal/node"
 )
 
-// Network is the connections between VMs, with a switch that cuts them.
+// Network tracks the connections between VMs and can partition them.
 type Network struct {
-	mu    sync.Mutex
-	side  map[string]int
-	names map[string]string
-	open  map[net.Conn]link
+	mu          sync.Mutex
+	sides       map[string]int
+	vmByAddress map[string]string
+	connections map[net.Conn]endpoints
 }
 
-// link is one connection: the VM that dialled, and the address it dialled.
-type link struct{ from, to string }
+// endpoints are the VM that dialed a connection and the address that it dialed.
+type endpoints struct{ from, to string }
 
-// NewNetwork returns a whole network.
+// NewNetwork returns a network without a partition.
 func NewNetwork() *Network {
-	return &Network{side: map[string]int{}, names: map[string]string{}, open: map[net.Conn]link{}}
+	return &Network{sides: map[string]int{}, vmByAddress: map[string]string{}, connections: map[net.Conn]endpoints{}}
 }
 
-// Register tells the network which VM listens at an address.
+// Register records that a VM listens on an address.
 func (n *Network) Register(vm, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names[address] = vm
+	n.vmByAddress[address] = vm
 }
 
-// Partition puts each VM on a side; VMs on different sides cannot reach each other.
-// VMs that are not named are on side 0, so an empty map heals the network.
-func (n *Network) Partition(side map[string]int) {
+// Partition assigns each VM to a side. It closes connections between sides, and dials
+// between sides fail. VMs without an entry are on side 0, so an empty map removes the
+// partition.
+func (n *Network) Partition(sides map[string]int) {
 	n.mu.Lock()
-	n.side = side
-	var cut []net.Conn
-	for c, ends := range n.open {
-		if side[ends.from] != side[n.names[ends.to]] {
-			cut = append(cut, c)
-			delete(n.open, c)
+	n.sides = sides
+	var severed []net.Conn
+	for c, e := range n.connections {
+		if sides[e.from] != sides[n.vmByAddress[e.to]] {
+			severed = append(severed, c)
+			delete(n.connections, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range cut {
+	for _, c := range severed {
 		_ = c.Close()
 	}
 }
 
-// errCut is what a dial across a cut gives.
-var errCut = errors.New("the network is cut")
+// errPartitioned is returned by a dial between sides of a partition.
+var errPartitioned = errors.New("the network is partitioned")
 
-// Dial returns how a VM reaches others.
+// Dial returns the function with which a VM dials other VMs.
 func (n *Network) Dial(vm string) node.DialFunc {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		if n.isCut(vm, address) {
-			return nil, errCut
+		if n.isPartitioned(vm, address) {
+			return nil, errPartitioned
 		}
 		var d net.Dialer
 		c, err := d.DialContext(ctx, "tcp", address)
@@ -66,14 +67,15 @@
 			return nil, err
 		}
 		n.mu.Lock()
-		n.open[c] = link{from: vm, to: address}
+		n.connections[c] = endpoints{from: vm, to: address}
 		n.mu.Unlock()
 		return c, nil
 	}
 }
 
-func (n *Network) isCut(vm, address string) bool {
+// isPartitioned reports whether a VM and the VM at an address are on different sides.
+func (n *Network) isPartitioned(vm, address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.side[vm] != n.side[n.names[address]]
+	return n.sides[vm] != n.sides[n.vmByAddress[address]]
 }
--- a/internal/dev/path_bench_test.go
+++ b/internal/dev/path_bench_test.go
@@ -19,9 +19,9 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// pathFleet is a fleet whose engines are far from their limits, so that what is
-// measured is the path.
-func pathFleet(b *testing.B, tokenTime time.Duration) *Cluster {
+// startBenchCluster starts a cluster whose engines are far below their limits, so that
+// benchmarks measure the path through the VMs.
+func startBenchCluster(b *testing.B, tokenTime time.Duration) *Cluster {
 	b.Helper()
 	c, err := Start(Options{LoadTime: time.Millisecond, TokenTime: tokenTime, Level: "error", ModifyBundle: func(bundle *schema.Bundle) {
 		bundle.Limits.LoadsPerSecond = 1000
@@ -37,11 +37,12 @@
 	return c
 }
 
-// client keeps enough connections open for the measured concurrency.
-var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}}
+// benchClient keeps enough idle connections for the concurrency of the benchmarks.
+var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}}
 
-// engineOf returns a URL of an engine that holds the model, and its name there.
-func (c *Cluster) engineOf(model string) (url, name string) {
+// engineHolding returns the URL of an engine on which the model is resident, and the
+// model's name on that engine.
+func (c *Cluster) engineHolding(model string) (url, name string) {
 	for _, t := range c.Bundle().Targets {
 		e := c.Engines[t.Name]
 		if e == nil {
@@ -56,9 +57,10 @@
 	return "", ""
 }
 
-// ask sends one request and reads the answer; it returns how many events came.
-func ask(url, model, text string, stream bool) (int, error) {
-	resp, err := client.Post(url+chatPath, "application/json", bytes.NewReader(ChatBody(model, text, stream)))
+// sendChat sends a chat request, reads the complete response and returns the number of
+// events in it.
+func sendChat(url, model, text string, stream bool) (int, error) {
+	resp, err := benchClient.Post(url+chatPath, "application/json", bytes.NewReader(ChatBody(model, text, stream)))
 	if err != nil {
 		return 0, err
 	}
@@ -77,24 +79,25 @@
 	return events, lines.Err()
 }
 
-// spread asks n requests, `at` at a time, and returns the times taken in order.
-func spread(b *testing.B, n, at int, one func(i int) (int, error)) (times []time.Duration, events int) {
+// runConcurrently calls send n times, with up to workers calls at a time. It returns the
+// durations of the calls in ascending order and the total number of events.
+func runConcurrently(b *testing.B, n, workers int, send func(i int) (int, error)) (durations []time.Duration, events int) {
 	b.Helper()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var failed error
+	var lastErr error
 	next := make(chan int)
-	for range at {
+	for range workers {
 		wg.Go(func() {
 			for i := range next {
-				began := time.Now()
-				got, err := one(i)
-				took := time.Since(began)
+				start := time.Now()
+				got, err := send(i)
+				elapsed := time.Since(start)
 				mu.Lock()
-				times = append(times, took)
+				durations = append(durations, elapsed)
 				events += got
 				if err != nil {
-					failed = err
+					lastErr = err
 				}
 				mu.Unlock()
 			}
@@ -105,15 +108,17 @@
 	}
 	close(next)
 	wg.Wait()
-	assert.NilError(b, failed)
-	slices.Sort(times)
-	return times, events
+	assert.NilError(b, lastErr)
+	slices.Sort(durations)
+	return durations, events
 }
 
+// quantile returns the quantile q, between 0 and 1, of sorted durations.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
+// cpuTime returns the user and system CPU time that the process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -122,10 +127,12 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// concurrency is the number of concurrent requests in the benchmarks.
 const concurrency = 100
 
-// BenchmarkAddedLatency measures what the path adds to a call of the engine, over
-// one hop between VMs, in one run.
+// BenchmarkAddedLatency measures the latency that the path through the VMs adds to a
+// direct call of the engine, with up to one hop between VMs. Direct and routed calls
+// are measured in the same run.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, row := range []struct {
 		name   string
@@ -133,20 +140,20 @@
 		token  time.Duration
 	}{{"whole", false, 20 * time.Millisecond}, {"streamed", true, 20 * time.Millisecond}} {
 		b.Run(row.name, func(b *testing.B) {
-			c := pathFleet(b, row.token)
+			c := startBenchCluster(b, row.token)
 			const model = "plough-notes@v1"
-			engine, name := c.engineOf(model)
+			engine, name := c.engineHolding(model)
 			n := max(b.N, 20*concurrency)
 			for _, url := range []string{engine, c.VMs[0].FrontendURL(), c.VMs[1].FrontendURL(), c.VMs[2].FrontendURL()} {
 				m := model
 				if url == engine {
 					m = name
 				}
-				spread(b, concurrency, concurrency, func(int) (int, error) { return ask(url, m, "open connections", row.stream) })
+				runConcurrently(b, concurrency, concurrency, func(int) (int, error) { return sendChat(url, m, "open connections", row.stream) })
 			}
-			direct, _ := spread(b, n, concurrency, func(int) (int, error) { return ask(engine, name, "a b c d e f", row.stream) })
-			path, _ := spread(b, n, concurrency, func(i int) (int, error) {
-				return ask(c.VMs[i%len(c.VMs)].FrontendURL(), model, "a b c d e f", row.stream)
+			direct, _ := runConcurrently(b, n, concurrency, func(int) (int, error) { return sendChat(engine, name, "a b c d e f", row.stream) })
+			path, _ := runConcurrently(b, n, concurrency, func(i int) (int, error) {
+				return sendChat(c.VMs[i%len(c.VMs)].FrontendURL(), model, "a b c d e f", row.stream)
 			})
 			for _, q := range []float64{0.5, 0.99} {
 				d, p := quantile(direct, q), quantile(path, q)
@@ -158,20 +165,20 @@
 	}
 }
 
-// BenchmarkTokens measures the processor time that streamed tokens cost beyond
-// what caller and engine spend, at a fixed pace of tokens.
+// BenchmarkTokens measures the CPU time per streamed token at a fixed token rate. The
+// CPU time of direct calls, which is that of caller and engine, is subtracted.
 func BenchmarkTokens(b *testing.B) {
-	c := pathFleet(b, 6*time.Millisecond)
+	c := startBenchCluster(b, 6*time.Millisecond)
 	const model = "plough-notes@v1"
-	engine, name := c.engineOf(model)
+	engine, name := c.engineHolding(model)
 	text := strings.Repeat("word ", 200)
-	measure := func(one func(i int) (int, error)) (cpuPerToken time.Duration, perSecond float64) {
-		before, began := cpuTime(), time.Now()
-		_, events := spread(b, 3*concurrency, concurrency, one)
-		return (cpuTime() - before) / time.Duration(events), float64(events) / time.Since(began).Seconds()
+	measure := func(send func(i int) (int, error)) (cpuPerToken time.Duration, perSecond float64) {
+		before, start := cpuTime(), time.Now()
+		_, events := runConcurrently(b, 3*concurrency, concurrency, send)
+		return (cpuTime() - before) / time.Duration(events), float64(events) / time.Since(start).Seconds()
 	}
-	direct, _ := measure(func(int) (int, error) { return ask(engine, name, text, true) })
-	path, rate := measure(func(i int) (int, error) { return ask(c.VMs[i%len(c.VMs)].FrontendURL(), model, text, true) })
+	direct, _ := measure(func(int) (int, error) { return sendChat(engine, name, text, true) })
+	path, rate := measure(func(i int) (int, error) { return sendChat(c.VMs[i%len(c.VMs)].FrontendURL(), model, text, true) })
 	b.ReportMetric(float64((path-direct).Nanoseconds())/1000, "cpu_us/token")
 	b.ReportMetric(rate, "tokens/s")
 	b.ReportMetric((path-direct).Seconds()*16000*100, "pct_core_at_16000_tokens/s")
--- a/internal/dev/paused_test.go
+++ b/internal/dev/paused_test.go
@@ -22,14 +22,14 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// process is a daemon as a process of its own.
-type process struct {
-	cmd             *exec.Cmd
-	door, peer, ops string
-	log             bytes.Buffer
+// daemonProcess is a daemon that runs in a separate process.
+type daemonProcess struct {
+	cmd                      *exec.Cmd
+	frontend, peer, operator string
+	log                      bytes.Buffer
 }
 
-// freeAddress returns a loopback address that nothing listens at.
+// freeAddress returns a loopback address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,15 +38,15 @@
 	return l.Addr().String()
 }
 
-// startProcess builds the daemon and starts it as a VM of the cluster's last
-// hall.
-func startProcess(t *testing.T, c *Cluster) *process {
+// startProcess builds the daemon and starts it as a VM in the last availability zone of
+// the cluster.
+func startProcess(t *testing.T, c *Cluster) *daemonProcess {
 	t.Helper()
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "junctionfold")
 	out, err := exec.Command("go", "build", "-o", bin, "../../cmd/junctionfold").CombinedOutput()
 	assert.NilError(t, err, "%s", out)
-	p := &process{door: freeAddress(t), peer: freeAddress(t), ops: freeAddress(t)}
+	p := &daemonProcess{frontend: freeAddress(t), peer: freeAddress(t), operator: freeAddress(t)}
 	settings := fmt.Sprintf(`[vm]
 id = entry-3
 hall = koege-hal
@@ -64,7 +64,7 @@
 order_token = %s
 [trust]
 public_keys = %s
-`, p.door, p.peer, p.ops, OperatorToken, c.base, c.base, orderToken, c.public)
+`, p.frontend, p.peer, p.operator, OperatorToken, c.platformURL, c.platformURL, orderToken, c.publicKey)
 	file := filepath.Join(dir, "entry-3.ini")
 	assert.NilError(t, os.WriteFile(file, []byte(settings), 0o600))
 	p.cmd = exec.Command(bin, "serve", "--settings", file)
@@ -77,9 +77,10 @@
 	return p
 }
 
-// serving reports whether the process serves a target.
-func (p *process) serving(target string) bool {
-	req, err := http.NewRequest(http.MethodGet, "http://"+p.ops+ops.StatusPath, http.NoBody)
+// serving reports whether the process serves a target and no other VM may still use the
+// target under an older fencing token.
+func (p *daemonProcess) serving(target string) bool {
+	req, err := http.NewRequest(http.MethodGet, "http://"+p.operator+ops.StatusPath, http.NoBody)
 	if err != nil {
 		return false
 	}
@@ -103,8 +104,8 @@
 	return false
 }
 
-// adaptersAt returns the models whose first target is the given one.
-func (c *Cluster) adaptersAt(target string) []string {
+// modelsRoutedTo returns the models for which the first VM chooses the given target.
+func (c *Cluster) modelsRoutedTo(target string) []string {
 	var out []string
 	for _, m := range c.models() {
 		if c.VMs[0].Node.Explain(m).GetChosen() == target {
@@ -114,8 +115,9 @@
 	return out
 }
 
-// TestPausedOwner stops an owner's process in the middle of its requests, lets
-// another VM take its target over, and wakes it.
+// TestPausedOwner suspends the process of an owner while its requests run, and resumes it
+// after another VM has taken over the target. No adapter may be evicted while it is in
+// use, whether or not the engine checks fencing tokens.
 func TestPausedOwner(t *testing.T) {
 	const target = "koege-llm-1"
 	for _, fencing := range []schema.Fencing{schema.Fencing_FENCING_REFUSES, schema.Fencing_FENCING_IGNORES} {
@@ -132,23 +134,23 @@
 			t.Cleanup(c.Close)
 			p := startProcess(t, c)
 			c.publishWith(p)
-			eventually(t, "the process to own its hall's engine", func() bool { return p.serving(target) })
-			models := c.adaptersAt(target)
+			eventually(t, "the process to own the engine of its zone", func() bool { return p.serving(target) })
+			models := c.modelsRoutedTo(target)
 			assert.Assert(t, len(models) > 0)
 			assert.NilError(t, c.chat(t.Context(), 0, models[0], "before the pause", false))
 
 			var wg sync.WaitGroup
-			running := make(chan error, 4)
-			for i := range cap(running) {
+			results := make(chan error, 4)
+			for i := range cap(results) {
 				wg.Go(func() {
-					running <- c.chat(t.Context(), i, models[0], fmt.Sprintf("in the pause, stream %d of many words that take a while", i), true)
+					results <- c.chat(t.Context(), i, models[0], fmt.Sprintf("in the pause, stream %d of many words that take a while", i), true)
 				})
 			}
-			eventually(t, "requests to run", func() bool { return len(c.Engines[target].Runs()) >= 1+cap(running) })
+			eventually(t, "requests to run", func() bool { return len(c.Engines[target].Runs()) >= 1+cap(results) })
 			assert.NilError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
-			began := time.Now()
+			start := time.Now()
 			eventually(t, "another VM to serve the engine", func() bool { return c.engineOwners(nil)[target] != "" })
-			t.Logf("served by another VM after %s", time.Since(began))
+			t.Logf("served by another VM after %s", time.Since(start))
 			for i, m := range c.models() { // more adapters than slots
 				_ = c.chat(t.Context(), i, m, "while it is paused", false)
 			}
@@ -160,39 +162,40 @@
 			for i, m := range models {
 				assert.NilError(t, c.chat(t.Context(), i, m, "after the pause", i%2 == 0))
 			}
-			c.assertPromises(t)
+			c.assertGuarantees(t)
 		})
 	}
 }
 
-// publishWith publishes the list of the cluster's VMs and the process.
-func (c *Cluster) publishWith(p *process) {
-	var list []standin.VM
+// publishWith publishes a VM list with the cluster's VMs and the process.
+func (c *Cluster) publishWith(p *daemonProcess) {
+	var vms []standin.VM
 	for _, vm := range c.VMs {
-		list = append(list, standin.VM{ID: vm.ID, Zone: vm.Settings.Vm.Hall, Address: vm.Settings.Peer.Listen, State: "live"})
+		vms = append(vms, standin.VM{ID: vm.ID, Zone: vm.Settings.Vm.Hall, Address: vm.Settings.Peer.Listen, State: "live"})
 	}
-	c.Platform.SetVMs(append(list, standin.VM{ID: "entry-3", Zone: "koege-hal", Address: p.peer, State: "live"}))
+	c.Platform.SetVMs(append(vms, standin.VM{ID: "entry-3", Zone: "koege-hal", Address: p.peer, State: "live"}))
 }
 
-// TestSilentOwner stops an owner's process for good, as a loss of power would: no
-// connection is reset. A request sent to it before it is suspect ends as unknown
-// within seconds and not at its deadline of five minutes.
-func TestSilentOwner(t *testing.T) {
+// TestUnresponsiveOwner suspends the process of an owner permanently. As in a power
+// failure, no connection is reset. A request that is sent to the owner before it is
+// suspected must end with an unknown outcome within seconds, not at its deadline of five
+// minutes.
+func TestUnresponsiveOwner(t *testing.T) {
 	const target = "koege-llm-1"
 	c, err := Start(Options{VMs: 2, LoadTime: 5 * time.Millisecond})
 	assert.NilError(t, err)
 	t.Cleanup(c.Close)
 	p := startProcess(t, c)
 	c.publishWith(p)
-	eventually(t, "the process to own its hall's engine", func() bool { return p.serving(target) })
-	model := c.adaptersAt(target)[0]
+	eventually(t, "the process to own the engine of its zone", func() bool { return p.serving(target) })
+	model := c.modelsRoutedTo(target)[0]
 	assert.NilError(t, c.chat(t.Context(), 0, model, "before", false))
 	assert.NilError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
-	began := time.Now()
+	start := time.Now()
 	r, err := Post(t.Context(), c.VMs[0].FrontendURL()+chatPath, ChatBody(model, "into the silence", false), nil)
 	assert.NilError(t, err)
-	took := time.Since(began)
-	t.Logf("answered after %s: %s", took, r.body)
+	elapsed := time.Since(start)
+	t.Logf("response after %s: %s", elapsed, r.body)
 	assert.Equal(t, gjson.GetBytes(r.body, "error.not_run").String(), "unknown")
-	assert.Assert(t, took < time.Minute)
+	assert.Assert(t, elapsed < time.Minute)
 }
--- a/internal/dev/publish.go
+++ b/internal/dev/publish.go
@@ -10,8 +10,8 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// SignedValues builds and signs a bundle and returns the configuration
-// service's values for it.
+// SignedValues builds and signs a version of a bundle. It returns the manifest and the
+// chunks by their keys in the configuration service.
 func SignedValues(b *schema.Bundle, version uint64, privatePEM []byte) (map[string][]byte, error) {
 	manifest, chunks, err := bundle.Split(b)
 	if err != nil {
--- a/internal/dev/vm.go
+++ b/internal/dev/vm.go
@@ -15,7 +15,7 @@
 	"github.com/junctionfold/junctionfold/schema"
 )
 
-// VM is one running VM.
+// VM is a VM of a cluster.
 type VM struct {
 	ID       string
 	Node     *node.Node
@@ -26,29 +26,30 @@
 	err  error
 }
 
+// addVM creates the VM with index i, without starting it.
 func (c *Cluster) addVM(i int) error {
 	s := settings.Defaults()
 	s.Vm.Id = fmt.Sprintf("entry-%d", i+1)
-	s.Vm.Hall = halls[i%len(halls)]
+	s.Vm.Hall = zones[i%len(zones)]
 	s.Door.Listen, s.Peer.Listen, s.Operator.Listen = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	s.Door.DrainMs = c.opts.DrainMs
 	s.Peer.InsecureLoopback = true
 	s.Operator.Token = OperatorToken
-	s.Platform.ConfigUrl, s.Platform.VmListUrl = c.base, c.base
+	s.Platform.ConfigUrl, s.Platform.VmListUrl = c.platformURL, c.platformURL
 	s.Platform.OrderToken = orderToken
-	s.Trust.PublicKeys = []string{c.public}
+	s.Trust.PublicKeys = []string{c.publicKey}
 	vm := &VM{ID: s.Vm.Id, Settings: s}
 	c.VMs = append(c.VMs, vm)
 	if c.opts.TLSDir != "" {
-		if err := c.issue(s); err != nil {
+		if err := c.issueCertificate(s); err != nil {
 			return err
 		}
 	}
-	return vm.open(c)
+	return vm.createNode(c)
 }
 
-// issue gives a VM a certificate and turns TLS on.
-func (c *Cluster) issue(s *schema.Settings) error {
+// issueCertificate issues a certificate for a VM and enables TLS in its settings.
+func (c *Cluster) issueCertificate(s *schema.Settings) error {
 	if c.authority.Cert == nil {
 		var err error
 		if c.authority, err = certs.NewAuthority(); err != nil {
@@ -59,19 +60,20 @@
 	if err != nil {
 		return err
 	}
-	file := func(name string) string { return filepath.Join(c.opts.TLSDir, s.Vm.Id+"."+name) }
+	path := func(name string) string { return filepath.Join(c.opts.TLSDir, s.Vm.Id+"."+name) }
 	s.Peer.InsecureLoopback = false
-	s.Peer.CertFile, s.Peer.KeyFile, s.Peer.CaFile = file("pem"), file("key"), file("ca")
-	for name, data := range map[string][]byte{s.Peer.CertFile: pair.Cert, s.Peer.KeyFile: pair.Key, s.Peer.CaFile: c.authority.Cert} {
-		if err := os.WriteFile(name, data, 0o600); err != nil {
+	s.Peer.CertFile, s.Peer.KeyFile, s.Peer.CaFile = path("pem"), path("key"), path("ca")
+	for file, data := range map[string][]byte{s.Peer.CertFile: pair.Cert, s.Peer.KeyFile: pair.Key, s.Peer.CaFile: c.authority.Cert} {
+		if err := os.WriteFile(file, data, 0o600); err != nil {
 			return errors.Wrap(err, "write certificate")
 		}
 	}
 	return nil
 }
 
-// open makes the VM's node; later ones listen where the first did.
-func (vm *VM) open(c *Cluster) error {
+// createNode creates the VM's node and stores its addresses in the settings, so that a
+// node created later listens on the same addresses.
+func (vm *VM) createNode(c *Cluster) error {
 	var dial node.DialFunc
 	if c.opts.Dial != nil {
 		dial = c.opts.Dial(vm.ID)
@@ -85,6 +87,7 @@
 	return nil
 }
 
+// run starts the VM's node in the background.
 func (vm *VM) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	vm.stop = cancel
@@ -95,30 +98,30 @@
 	}()
 }
 
-// Stop drains the VM and waits until it has stopped.
+// Stop drains the VM, waits until it has stopped and returns its error.
 func (vm *VM) Stop() error {
 	vm.stop()
 	<-vm.done
 	return vm.err
 }
 
-// Kill ends the VM at once, as a crash would.
+// Kill stops the VM without draining it, as a crash would.
 func (vm *VM) Kill() {
 	vm.Node.Kill()
 	<-vm.done
 }
 
-// Restart starts a stopped VM anew, at the same addresses.
+// Restart starts a stopped VM again with a new node on the same addresses.
 func (c *Cluster) Restart(vm *VM) error {
-	if err := vm.open(c); err != nil {
+	if err := vm.createNode(c); err != nil {
 		return err
 	}
 	vm.run()
 	return nil
 }
 
-// FrontendURL returns the URL of a VM's front door.
+// FrontendURL returns the base URL for requests of callers.
 func (vm *VM) FrontendURL() string { return "http://" + vm.Settings.Door.Listen }
 
-// OperatorURL returns the URL of a VM's operators' interface.
+// OperatorURL returns the base URL of the VM's operators' interface.
 func (vm *VM) OperatorURL() string { return "http://" + vm.Settings.Operator.Listen }
