--- a/coord/loadtime/loadtime.go
+++ b/coord/loadtime/loadtime.go
@@ -94,9 +94,9 @@
 	return max(time.Duration((1-e.trialReduction)*float64(e.value)), minEstimate)
 }
 
-// Refused records that a request was rejected because its load was not complete. after is the
-// time from the start of the load until the request was sent; load identifies the load.
-func (e *Estimate) Refused(load uint64, after time.Duration) {
+// ObserveRejection records that a request was rejected because its load was not complete. after is
+// the time from the start of the load until the request was sent; load identifies the load.
+func (e *Estimate) ObserveRejection(load uint64, after time.Duration) {
 	e.consecutiveSuccesses, e.longestSuccess = 0, 0
 	if after >= e.value {
 		e.raise(load)
@@ -119,15 +119,15 @@
 	e.value = min(time.Duration((1+step)*float64(e.value)), maxEstimate)
 }
 
-// Ran records that a request ran. after is the time from the start of its load until the
-// request was sent. refused is the same time of an earlier request for that load that was
+// ObserveRun records that a request ran. after is the time from the start of its load until the
+// request was sent. rejectedAfter is the same time of an earlier request for that load that was
 // rejected, or 0 if there was none.
-func (e *Estimate) Ran(load uint64, refused, after time.Duration) {
+func (e *Estimate) ObserveRun(load uint64, rejectedAfter, after time.Duration) {
 	switch {
-	case refused > e.value:
+	case rejectedAfter > e.value:
 		e.lastLateLoad = 0
 		e.raise(load)
-	case refused > 0: // rejected during a trial, or before the estimate was raised
+	case rejectedAfter > 0: // rejected during a trial, or before the estimate was raised
 		e.value = min(e.value, after)
 	case after < e.value:
 		e.consecutiveLate = 0
--- a/coord/loadtime/loadtime_test.go
+++ b/coord/loadtime/loadtime_test.go
@@ -13,16 +13,16 @@
 // estimator estimates load times; Estimate is one implementation.
 type estimator interface {
 	Next() time.Duration
-	Refused(load uint64, after time.Duration)
-	Ran(load uint64, refused, after time.Duration)
+	ObserveRejection(load uint64, after time.Duration)
+	ObserveRun(load uint64, rejectedAfter, after time.Duration)
 }
 
 // constant is a fixed load time, which fits only the deployments known so far.
 type constant time.Duration
 
-func (c constant) Next() time.Duration                          { return time.Duration(c) }
-func (constant) Refused(uint64, time.Duration)                  {}
-func (constant) Ran(_ uint64, _ time.Duration, _ time.Duration) {}
+func (c constant) Next() time.Duration                                 { return time.Duration(c) }
+func (constant) ObserveRejection(uint64, time.Duration)                {}
+func (constant) ObserveRun(_ uint64, _ time.Duration, _ time.Duration) {}
 
 // quantile is the 95th percentile of the observed times of the last loads.
 type quantile struct {
@@ -38,11 +38,11 @@
 	return sorted[len(sorted)*95/100]
 }
 
-func (*quantile) Refused(uint64, time.Duration) {}
+func (*quantile) ObserveRejection(uint64, time.Duration) {}
 
-func (q *quantile) Ran(_ uint64, refused, after time.Duration) {
+func (q *quantile) ObserveRun(_ uint64, rejectedAfter, after time.Duration) {
 	estimate := time.Duration(0.98 * float64(after))
-	if refused > 0 {
+	if rejectedAfter > 0 {
 		estimate = after
 	}
 	q.observed = append(q.observed, estimate)
@@ -60,13 +60,13 @@
 
 func (s *staircase) Next() time.Duration { return s.value }
 
-func (s *staircase) Refused(_ uint64, after time.Duration) {
+func (s *staircase) ObserveRejection(_ uint64, after time.Duration) {
 	s.value = max(s.value, time.Duration(1.03*float64(after)))
 	s.reduction = 0.0005
 }
 
-func (s *staircase) Ran(_ uint64, refused, after time.Duration) {
-	if refused == 0 && after <= s.value {
+func (s *staircase) ObserveRun(_ uint64, rejectedAfter, after time.Duration) {
+	if rejectedAfter == 0 && after <= s.value {
 		s.value = time.Duration((1 - s.reduction) * float64(s.value))
 		s.reduction = min(1.08*s.reduction, 0.03)
 	}
@@ -90,7 +90,7 @@
 func simulate(e estimator, loads int, loadTimeOf func(load, engine int) time.Duration) (c cost) {
 	var waited time.Duration
 	for i := 0; i < loads; i += 8 {
-		type loadState struct{ next, refused, ran time.Duration }
+		type loadState struct{ next, rejectedAfter, ran time.Duration }
 		var batch [8]loadState
 		for k := range batch {
 			batch[k].next = e.Next()
@@ -104,7 +104,7 @@
 				at := l.next + time.Duration(round)*retryDelay
 				if at >= loadTime {
 					l.ran = at
-					e.Ran(id, l.refused, at)
+					e.ObserveRun(id, l.rejectedAfter, at)
 					waited += at - loadTime
 					continue
 				}
@@ -112,8 +112,8 @@
 					c.earlyLoads++
 				}
 				c.rejections++
-				l.refused = at
-				e.Refused(id, at)
+				l.rejectedAfter = at
+				e.ObserveRejection(id, at)
 			}
 		}
 	}
@@ -211,11 +211,11 @@
 func TestEstimateStaysWithinBounds(t *testing.T) {
 	e := New(25 * time.Millisecond)
 	for i := range 1000 {
-		e.Refused(uint64(i+1), time.Hour)
+		e.ObserveRejection(uint64(i+1), time.Hour)
 	}
 	assert.Equal(t, e.Value(), maxEstimate)
 	for range 10_000 {
-		e.Ran(1, 0, time.Microsecond)
+		e.ObserveRun(1, 0, time.Microsecond)
 	}
 	assert.Equal(t, e.Value(), minEstimate)
 }
--- a/coord/placement/example_test.go
+++ b/coord/placement/example_test.go
@@ -18,6 +18,6 @@
 		Key: rendezvous.Hash("plough-notes@v1"), Zones: m.ZoneMask([]string{"koege-hal"}),
 		Spread: 1, Now: time.Unix(0, 0),
 	}
-	fmt.Println(placement.Default().Pick(m.Pool("base-8b"), loads, &q).Target)
+	fmt.Println(placement.DefaultScheduler().Pick(m.Pool("base-8b"), loads, &q).Target)
 	// Output: llm-2
 }
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -121,7 +121,7 @@
 // Scheduler picks targets by its filters and scorers.
 type Scheduler struct {
 	filters []Filter
-	scorers []Weighted
+	scorers []WeightedScorer
 }
 
 // Filter removes targets.
@@ -139,25 +139,25 @@
 	Score(q *Query, t *Target, l *Load, rank int) float64
 }
 
-// Weighted is a Scorer with its weight.
-type Weighted struct {
+// WeightedScorer is a Scorer with its weight.
+type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
 
 // NewScheduler returns a Scheduler with the given filters and scorers.
-func NewScheduler(filters []Filter, scorers []Weighted) *Scheduler {
+func NewScheduler(filters []Filter, scorers []WeightedScorer) *Scheduler {
 	return &Scheduler{filters: filters, scorers: scorers}
 }
 
-// Default returns the daemon's Scheduler for full weight on load stalls.
-func Default() *Scheduler { return WithAffinityStep(affinityStepForStalls) }
+// DefaultScheduler returns the daemon's Scheduler for full weight on load stalls.
+func DefaultScheduler() *Scheduler { return WithAffinityStep(affinityStepForStalls) }
 
 // WithAffinityStep returns the daemon's Scheduler with the given Step of the AffinityScorer.
 func WithAffinityStep(step float64) *Scheduler {
 	return NewScheduler(
 		[]Filter{ZoneFilter{}, LeavingFilter{}, TriedFilter{}, EjectedFilter{}},
-		[]Weighted{
+		[]WeightedScorer{
 			{Scorer: AffinityScorer{Step: step}, Weight: affinityWeight},
 			{Scorer: QueueScorer{}, Weight: queueWeight},
 		},
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -30,7 +30,7 @@
 // TestFilters checks each filter that can remove the preferred target.
 func TestFilters(t *testing.T) {
 	m, p := pool(6)
-	sched := placement.Default()
+	sched := placement.DefaultScheduler()
 	first := sched.Pick(p, placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()), query("x"))
 	for _, row := range []struct {
 		name      string
@@ -67,7 +67,7 @@
 	_, p := pool(1)
 	q := query("x")
 	q.Exclude = []coord.TargetID{"t0"}
-	assert.Assert(t, !placement.Default().Pick(p, placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()), q).OK)
+	assert.Assert(t, !placement.DefaultScheduler().Pick(p, placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()), q).OK)
 }
 
 // TestEjectionEndsAndDoubles checks that an ejection ends after its time, and that a failed probe
@@ -89,7 +89,7 @@
 // has more than a batch waiting.
 func TestOverloadedTargetIsPassedOver(t *testing.T) {
 	_, p := pool(6)
-	sched, loads := placement.Default(), placement.NewLoadTracker(placement.DefaultLoadTrackerConfig())
+	sched, loads := placement.DefaultScheduler(), placement.NewLoadTracker(placement.DefaultLoadTrackerConfig())
 	first := sched.Pick(p, loads, query("x")).Target
 	loads.ObserveLoad(now, first, 10, 0)
 	assert.Equal(t, sched.Pick(p, loads, query("x")).Target, first)
@@ -119,7 +119,7 @@
 	for _, row := range []struct{ stall, batch, grow float64 }{
 		{1, 0, 1}, {0, 1, 1.5}, {0.5, 0.5, 1.25}, {0, 0, 1},
 	} {
-		cfg, _ := placement.ForWeights(row.stall, row.batch)
+		cfg, _ := placement.SettingsForWeights(row.stall, row.batch)
 		assert.Equal(t, cfg.GrowThreshold, row.grow)
 	}
 }
@@ -128,7 +128,7 @@
 func TestAddedTargetMovesFewAdapters(t *testing.T) {
 	_, small := pool(12)
 	_, large := pool(13)
-	sched, loads := placement.Default(), placement.NewLoadTracker(placement.DefaultLoadTrackerConfig())
+	sched, loads := placement.DefaultScheduler(), placement.NewLoadTracker(placement.DefaultLoadTrackerConfig())
 	moved := 0
 	for i := range 3000 {
 		q := query(fmt.Sprint(i))
--- a/coord/placement/weights.go
+++ b/coord/placement/weights.go
@@ -10,9 +10,9 @@
 	affinityStepForBatches  = 2.0
 )
 
-// ForWeights returns the settings for the bundle's weights, each from 0 to 1. Batch efficiency grows if
-// an adapter is spread later, and if requests stay longer with a target that has a queue.
-func ForWeights(loadStall, batchEfficiency float64) (SpreadConfig, *Scheduler) {
+// SettingsForWeights returns the settings for the bundle's weights, each from 0 to 1. Batch efficiency
+// grows if an adapter is spread later, and if requests stay longer with a target that has a queue.
+func SettingsForWeights(loadStall, batchEfficiency float64) (SpreadConfig, *Scheduler) {
 	share := 0.0
 	if sum := loadStall + batchEfficiency; sum > 0 {
 		share = batchEfficiency / sum
--- a/coord/policy_test.go
+++ b/coord/policy_test.go
@@ -76,7 +76,7 @@
 
 func newDaemonRun(r *replay, loadStall, batchEfficiency float64, tune func(*dispatch.Config)) (system, []*batcher) {
 	s := newDaemonSystem(r, tune)
-	spread, sched := placement.ForWeights(loadStall, batchEfficiency)
+	spread, sched := placement.SettingsForWeights(loadStall, batchEfficiency)
 	s.spread.SetConfig(spread)
 	s.scheduler = sched
 	var b []*batcher
--- a/coord/replay_test.go
+++ b/coord/replay_test.go
@@ -414,7 +414,7 @@
 
 func newDaemonSystem(r *replay, tune func(*dispatch.Config)) *daemonSystem {
 	s := &daemonSystem{
-		replay: r, scheduler: placement.Default(), loadTracker: placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
+		replay: r, scheduler: placement.DefaultScheduler(), loadTracker: placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
 		spread: placement.NewSpread(placement.DefaultSpreadConfig()), tune: tune,
 		issuer:         loadpermit.New(loadpermit.Config{PerSecond: 3, Concurrent: 1, MaxHoldTime: 5 * time.Second}),
 		permitRequests: map[uint64]*daemonEngine{}, byID: map[coord.TargetID]*daemonEngine{},
--- a/coord/scheduler/loads.go
+++ b/coord/scheduler/loads.go
@@ -59,7 +59,7 @@
 	}
 	late := elapsed >= s.coldLoadTime.Value()
 	if !sl.contended && !sl.cacheMissed {
-		s.coldLoadTime.Refused(sl.loadNumber, elapsed)
+		s.coldLoadTime.ObserveRejection(sl.loadNumber, elapsed)
 	}
 	return late
 }
@@ -73,9 +73,9 @@
 	elapsed := g.grantedAt.Sub(sl.startedAt)
 	switch {
 	case !sl.fromStore:
-		s.warmLoadTime.Ran(sl.loadNumber, sl.rejectedAfter, elapsed)
+		s.warmLoadTime.ObserveRun(sl.loadNumber, sl.rejectedAfter, elapsed)
 	case sl.rejectedAfter == 0 || !sl.contended:
-		s.coldLoadTime.Ran(sl.loadNumber, sl.rejectedAfter, elapsed)
+		s.coldLoadTime.ObserveRun(sl.loadNumber, sl.rejectedAfter, elapsed)
 	}
 }
 
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -57,7 +57,7 @@
 
 // notRunFailure returns the failure of a request that did not run.
 func notRunFailure(code string, status int, retryDelay time.Duration, message string) *schema.Failure {
-	return forward.Fail(code, status, schema.Outcome_OUTCOME_NOT_RUN, retryDelay, message).Failure
+	return forward.FailedResult(code, status, schema.Outcome_OUTCOME_NOT_RUN, retryDelay, message).Failure
 }
 
 // fail writes an error response.
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -105,7 +105,7 @@
 	if prior != nil {
 		message = "an earlier try with this key may have run; its answer is not known"
 	}
-	return forward.Fail(forward.CodeOutcomeUnknown, http.StatusServiceUnavailable,
+	return forward.FailedResult(forward.CodeOutcomeUnknown, http.StatusServiceUnavailable,
 		schema.Outcome_OUTCOME_UNKNOWN, outcomeRetryDelay, message).Failure
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -97,7 +97,7 @@
 // set none or an invalid one. A valid id consists of printable ASCII characters
 // without spaces and slashes.
 func requestID(r *http.Request) string {
-	id := r.Header.Get(target.RequestIDKey)
+	id := r.Header.Get(target.RequestIDHeader)
 	if id == "" || len(id) > maxRequestIDBytes {
 		return uuid.NewString()
 	}
@@ -115,7 +115,7 @@
 	open := s.open.Add(1)
 	defer s.open.Add(-1)
 	id := requestID(r)
-	w.Header().Set(target.RequestIDKey, id)
+	w.Header().Set(target.RequestIDHeader, id)
 	if open > s.cfg.Settings.MaxOpenRequests {
 		c := s.newCall(w, r)
 		c.fail(notRunFailure(forward.CodeOverloaded, http.StatusServiceUnavailable, time.Second, "too many open requests"))
@@ -125,7 +125,7 @@
 }
 
 func (s *Server) newCall(w http.ResponseWriter, r *http.Request) *call {
-	id := w.Header().Get(target.RequestIDKey)
+	id := w.Header().Get(target.RequestIDHeader)
 	return &call{
 		server: s, w: w, r: r, id: id, catalog: s.cfg.Router.Catalog(),
 		log: s.cfg.Log.WithField("request", id),
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -140,9 +140,9 @@
 // Directory returns the current directory.
 func (f *Feed) Directory() *Directory { return f.current.Load() }
 
-// RefusedItems returns how many items of the store could not be decoded, or only in part. A key
+// RejectedItems returns how many items of the store could not be decoded, or only in part. A key
 // that keeps failing for the same reason counts once.
-func (f *Feed) RefusedItems() int64 { return f.rejectedItems.Load() }
+func (f *Feed) RejectedItems() int64 { return f.rejectedItems.Load() }
 
 // Age returns the time since the copy was last known to be current, or an hour if it never was.
 func (f *Feed) Age() time.Duration {
--- a/internal/feed/incarnation_test.go
+++ b/internal/feed/incarnation_test.go
@@ -117,7 +117,7 @@
 	assert.Assert(t, x.feed.Directory().Removed["t#5"])
 	assert.Assert(t, x.feed.Directory().Targets["t#7"] != nil)
 	x.feed.Apply(Update{From: 2, To: 3, Items: []fleet.Item{put("t", "?", 3)}})
-	assert.Equal(t, x.feed.RefusedItems(), int64(1))
+	assert.Equal(t, x.feed.RejectedItems(), int64(1))
 }
 
 // TestUndecodableConfigurationKeepsThePreviousOne verifies that an undecodable configuration changes
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -57,8 +57,8 @@
 	CodeVersionRequired   = "version_required"
 )
 
-// Fail returns the Result of a failed attempt.
-func Fail(code string, status int, outcome schema.Outcome, retryDelay time.Duration, message string) Result {
+// FailedResult returns the Result of a failed attempt.
+func FailedResult(code string, status int, outcome schema.Outcome, retryDelay time.Duration, message string) Result {
 	return Result{Failure: &schema.Failure{
 		Code: code, Status: int32(status), Outcome: outcome,
 		RetryAfterMs: retryDelay.Milliseconds(), Message: message,
--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -30,8 +30,8 @@
 	return g.backoffs.ActiveTargets(g.cfg.Now())
 }
 
-// BackedOff returns the number of targets that currently accept no requests from this VM.
-func (g *Gateway) BackedOff() int64 { return int64(len(g.backedOffTargets())) }
+// BackedOffCount returns the number of targets that currently accept no requests from this VM.
+func (g *Gateway) BackedOffCount() int64 { return int64(len(g.backedOffTargets())) }
 
 // isBackedOff reports whether a target currently accepts no requests from this VM.
 func (g *Gateway) isBackedOff(target string) bool {
@@ -43,7 +43,7 @@
 // backoffRemaining returns the time until the first ready target of the request's service accepts
 // requests from this VM again; 0 if one of them does now.
 func (x *exchange) backoffRemaining() time.Duration {
-	if x.g.BackedOff() == 0 {
+	if x.g.BackedOffCount() == 0 {
 		return 0
 	}
 	var ready []string
--- a/internal/gateway/model.go
+++ b/internal/gateway/model.go
@@ -159,7 +159,7 @@
 
 // relayModel returns the target's response to the caller. It returns true if another target should
 // continue it.
-func (x *exchange) relayModel(decision Decision, resp *hop.Answer, sentAt time.Time) (retry bool) {
+func (x *exchange) relayModel(decision Decision, resp *hop.Response, sentAt time.Time) (retry bool) {
 	if x.stream.header != nil && !x.continuesStream(resp) {
 		return x.handleModelError(decision, errNotContinued)
 	}
@@ -199,7 +199,7 @@
 
 // readFirstEvent reads the first bytes of a stream. A stream that is resumed after its last event
 // may be empty.
-func (x *exchange) readFirstEvent(decision Decision, resp *hop.Answer, sentAt time.Time) (prefix []byte, err error) {
+func (x *exchange) readFirstEvent(decision Decision, resp *hop.Response, sentAt time.Time) (prefix []byte, err error) {
 	buffer := make([]byte, 512)
 	n, err := resp.Read(buffer)
 	streamEnded := err == io.EOF && x.stream.header != nil
@@ -213,7 +213,7 @@
 }
 
 // relayNonStream returns a response that is not an event stream.
-func (x *exchange) relayNonStream(decision Decision, resp *hop.Answer) (retry bool) {
+func (x *exchange) relayNonStream(decision Decision, resp *hop.Response) (retry bool) {
 	body, complete, err := readBuffered(resp)
 	if err != nil {
 		return x.handleModelError(decision, err)
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -23,7 +23,7 @@
 
 // attempt is the result of one attempt at a plain service.
 type attempt struct {
-	resp     *hop.Answer
+	resp     *hop.Response
 	body     []byte
 	complete bool
 	class    fleet.AnswerClass
@@ -242,7 +242,7 @@
 const noTargetRetryDelay = 300 * time.Millisecond
 
 // relayUnbuffered relays a response that is too long to be buffered.
-func (x *exchange) relayUnbuffered(resp *hop.Answer, prefix []byte) {
+func (x *exchange) relayUnbuffered(resp *hop.Response, prefix []byte) {
 	if err := x.relay(resp, prefix); err != nil {
 		x.recordOutcome("cut", resp.Status, "answer_cut", err)
 		abort()
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -28,7 +28,7 @@
 const noPriority = -1
 
 // send sends the request to one target. The context bounds the whole attempt.
-func (x *exchange) send(ctx context.Context, d destination) (*hop.Answer, error) {
+func (x *exchange) send(ctx context.Context, d destination) (*hop.Response, error) {
 	x.logEntry.Attempts++
 	x.logEntry.Target = d.target
 	h := x.header.Clone()
@@ -82,7 +82,7 @@
 
 // readBuffered reads the whole body of a response whose length is short or unknown. complete is
 // false if the response is too long to be buffered.
-func readBuffered(resp *hop.Answer) (body []byte, complete bool, err error) {
+func readBuffered(resp *hop.Response) (body []byte, complete bool, err error) {
 	if resp.Header.Get("Content-Encoding") != "" {
 		return nil, false, errEncoded
 	}
@@ -97,7 +97,7 @@
 }
 
 // copyHeader copies a response's header to the caller, except for the fields of its connection.
-func (x *exchange) copyHeader(resp *hop.Answer) {
+func (x *exchange) copyHeader(resp *hop.Response) {
 	out := x.w.Header()
 	for name, values := range x.g.cfg.Codec.ForwardResponse(resp.Header) {
 		out[name] = values
@@ -108,7 +108,7 @@
 }
 
 // writeBuffered writes a buffered response to the caller.
-func (x *exchange) writeBuffered(resp *hop.Answer, body []byte) {
+func (x *exchange) writeBuffered(resp *hop.Response, body []byte) {
 	x.copyHeader(resp)
 	if bodyAllowed(resp.Status) {
 		x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -137,7 +137,7 @@
 
 // relay forwards the body as it arrives, after prefix, which was read before. It returns
 // errCallerLeft if the write to the caller failed, or the target's failure.
-func (x *exchange) relay(resp *hop.Answer, prefix []byte) error {
+func (x *exchange) relay(resp *hop.Response, prefix []byte) error {
 	x.copyHeader(resp)
 	if resp.Length >= 0 {
 		x.w.Header().Set("Content-Length", strconv.FormatInt(resp.Length, 10))
@@ -148,7 +148,7 @@
 
 // relayEvents relays a stream that may be resumed. It forwards complete events only; a partial
 // event at the end of a complete response is forwarded as well.
-func (x *exchange) relayEvents(resp *hop.Answer, prefix []byte) error {
+func (x *exchange) relayEvents(resp *hop.Response, prefix []byte) error {
 	if x.stream.header == nil {
 		x.copyHeader(resp)
 		x.w.WriteHeader(resp.Status)
@@ -161,7 +161,7 @@
 }
 
 // copyBody writes what transform returns for each chunk of the body, prefix first.
-func (x *exchange) copyBody(resp *hop.Answer, prefix []byte, transform func([]byte) ([]byte, error)) error {
+func (x *exchange) copyBody(resp *hop.Response, prefix []byte, transform func([]byte) ([]byte, error)) error {
 	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buffer)
 	for n, readErr := copy(buffer[:], prefix), error(nil); ; n, readErr = resp.Read(buffer[:]) {
--- a/internal/gateway/resume.go
+++ b/internal/gateway/resume.go
@@ -74,11 +74,11 @@
 }
 
 // isResumable reports whether another target could continue a response.
-func (x *exchange) isResumable(resp *hop.Answer) bool { return x.route.Resumable && resp.Length < 0 }
+func (x *exchange) isResumable(resp *hop.Response) bool { return x.route.Resumable && resp.Length < 0 }
 
 // continuesStream reports whether a response continues the one of which the caller has received a
 // part.
-func (x *exchange) continuesStream(resp *hop.Answer) bool {
+func (x *exchange) continuesStream(resp *hop.Response) bool {
 	return resp.Status == http.StatusOK && isEventStream(resp.Header) && x.g.cfg.Codec.CanResume(x.stream.header, resp.Header)
 }
 
--- a/internal/hop/answer.go
+++ b/internal/hop/answer.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Answer is a response whose body is being read. The caller must call Close.
-type Answer struct {
+// Response is a response whose body is being read. The caller must call Close.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body in bytes; -1 if unknown.
@@ -31,19 +31,19 @@
 
 // send writes the request. A body of more than maxInlineBodyBytes is written in the
 // background while the response is read.
-func (a *Answer) send(r *Request) error {
-	head := encodeHead(r)
-	if len(r.Body) <= maxInlineBodyBytes {
-		_, err := a.conn.Write(append(head, r.Body...))
-		return errors.Wrapf(err, "send to %s", r.Key)
+func (r *Response) send(req *Request) error {
+	head := encodeHead(req)
+	if len(req.Body) <= maxInlineBodyBytes {
+		_, err := r.conn.Write(append(head, req.Body...))
+		return errors.Wrapf(err, "send to %s", req.Key)
 	}
-	if _, err := a.conn.Write(head); err != nil {
-		return errors.Wrapf(err, "send to %s", r.Key)
+	if _, err := r.conn.Write(head); err != nil {
+		return errors.Wrapf(err, "send to %s", req.Key)
 	}
-	a.bodyWritten = make(chan error, 1)
+	r.bodyWritten = make(chan error, 1)
 	go func() {
-		_, err := a.conn.Write(r.Body)
-		a.bodyWritten <- err
+		_, err := r.conn.Write(req.Body)
+		r.bodyWritten <- err
 	}()
 	return nil
 }
@@ -66,74 +66,74 @@
 
 // readHead reads the head of the response. It skips up to maxMismatched responses to
 // other requests.
-func (a *Answer) readHead(r *Request) error {
+func (r *Response) readHead(req *Request) error {
 	for range maxMismatched + 1 {
-		resp, err := http.ReadResponse(a.conn.reader, &http.Request{Method: r.Method})
+		resp, err := http.ReadResponse(r.conn.reader, &http.Request{Method: req.Method})
 		if err != nil {
-			return errors.Wrapf(err, "answer of %s", r.Key)
+			return errors.Wrapf(err, "answer of %s", req.Key)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue // informational
 		}
-		if r.Matches(resp.StatusCode, resp.Header) {
-			a.setResponse(resp)
+		if req.Matches(resp.StatusCode, resp.Header) {
+			r.setResponse(resp)
 			return nil
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxMismatchedBodyBytes))
 		if err != nil || n == maxMismatchedBodyBytes || resp.ContentLength < 0 {
-			return errors.Newf("%s answered another request", r.Key)
+			return errors.Newf("%s answered another request", req.Key)
 		}
 	}
-	return errors.Newf("%s answered other requests only", r.Key)
+	return errors.Newf("%s answered other requests only", req.Key)
 }
 
-func (a *Answer) setResponse(resp *http.Response) {
-	a.Status = resp.StatusCode
-	a.Header = resp.Header
-	a.Length = resp.ContentLength
-	a.body = resp.Body
-	a.closeConn = resp.Close
+func (r *Response) setResponse(resp *http.Response) {
+	r.Status = resp.StatusCode
+	r.Header = resp.Header
+	r.Length = resp.ContentLength
+	r.body = resp.Body
+	r.closeConn = resp.Close
 }
 
 // Read reads the body. It returns io.EOF only at the end of a complete body.
-func (a *Answer) Read(p []byte) (int, error) {
-	n, err := a.body.Read(p)
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.body.Read(p)
 	if err == io.EOF {
-		a.bodyEnded = true
+		r.bodyEnded = true
 	}
 	return n, err
 }
 
 // Close releases the connection. The connection returns to the pool if the response was
 // read to its end and no further data is buffered on it. Otherwise it is closed.
-func (a *Answer) Close() {
-	if a.stopContextFunc != nil {
-		a.stopContextFunc()
+func (r *Response) Close() {
+	if r.stopContextFunc != nil {
+		r.stopContextFunc()
 	}
-	if a.ackTimer != nil {
-		a.ackTimer.Stop()
+	if r.ackTimer != nil {
+		r.ackTimer.Stop()
 	}
-	if !a.bodyEnded {
-		a.pool.reset(a.conn)
+	if !r.bodyEnded {
+		r.pool.reset(r.conn)
 		return
 	}
-	if !a.reusable() {
-		a.pool.discard(a.conn)
+	if !r.reusable() {
+		r.pool.discard(r.conn)
 		return
 	}
-	a.conn.expires = a.pool.Now().Add(idleTimeout(a.Header))
-	a.pool.putIdle(a.conn)
+	r.conn.expires = r.pool.Now().Add(idleTimeout(r.Header))
+	r.pool.putIdle(r.conn)
 }
 
-func (a *Answer) reusable() bool {
-	if a.closeConn || a.conn.reader.Buffered() > 0 {
+func (r *Response) reusable() bool {
+	if r.closeConn || r.conn.reader.Buffered() > 0 {
 		return false
 	}
-	if a.bodyWritten == nil {
+	if r.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-a.bodyWritten:
+	case err := <-r.bodyWritten:
 		return err == nil
 	default:
 		return false
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -101,7 +101,7 @@
 
 // Do sends a request and returns its response. When the context ends, the connection is
 // reset, which makes the target stop processing the request.
-func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.acquire(ctx, r)
 	if err != nil {
 		return nil, err
@@ -110,15 +110,15 @@
 		p.putUnused(c)
 		return nil, err
 	}
-	a := &Answer{pool: p, conn: c, ackTimer: p.applyAckTimeout(c, r.AckTimeout)}
-	a.stopContextFunc = context.AfterFunc(ctx, func() { p.reset(c) })
-	if err := a.send(r); err != nil {
-		a.Close()
+	resp := &Response{pool: p, conn: c, ackTimer: p.applyAckTimeout(c, r.AckTimeout)}
+	resp.stopContextFunc = context.AfterFunc(ctx, func() { p.reset(c) })
+	if err := resp.send(r); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	if err := a.readHead(r); err != nil {
-		a.Close()
+	if err := resp.readHead(r); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
--- a/internal/owner/execute.go
+++ b/internal/owner/execute.go
@@ -45,7 +45,7 @@
 	began := t.now()
 	act, ok := t.await(ctx, p)
 	if !ok {
-		return forward.Fail(forward.CodeTimeout, http.StatusGatewayTimeout,
+		return forward.FailedResult(forward.CodeTimeout, http.StatusGatewayTimeout,
 			schema.Outcome_OUTCOME_NOT_RUN, 0, "the deadline passed, or the caller left, in the queue")
 	}
 	if act.Kind == dispatch.ActRefuse {
@@ -115,7 +115,7 @@
 	}
 	model, kind := t.catalog.Resolve(ref.Model())
 	if kind != catalog.OK || model.Base != t.spec.Base {
-		r := forward.Fail(forward.CodeUnknownModel, http.StatusNotFound,
+		r := forward.FailedResult(forward.CodeUnknownModel, http.StatusNotFound,
 			schema.Outcome_OUTCOME_NOT_RUN, 0, "the bundle in force does not hold "+ref.Model()+" for this target")
 		return catalog.Model{}, &r
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -199,7 +199,7 @@
 
 // refuse returns the result of an attempt that this VM did not send.
 func refuse(code string, retryAfter time.Duration, message string) forward.Result {
-	return forward.Fail(code, http.StatusServiceUnavailable, schema.Outcome_OUTCOME_NOT_RUN, retryAfter, message)
+	return forward.FailedResult(code, http.StatusServiceUnavailable, schema.Outcome_OUTCOME_NOT_RUN, retryAfter, message)
 }
 
 // HandleReleaseRequest answers another VM's claims with the claimed targets that this VM has
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -168,7 +168,7 @@
 }
 
 func unreachableResult(err error) forward.Result {
-	return forward.Fail(forward.CodeOwnerUnreachable, http.StatusServiceUnavailable,
+	return forward.FailedResult(forward.CodeOwnerUnreachable, http.StatusServiceUnavailable,
 		schema.Outcome_OUTCOME_NOT_RUN, time.Second, err.Error())
 }
 
@@ -179,7 +179,7 @@
 	if ctx.Err() != nil {
 		code, status = forward.CodeTimeout, http.StatusGatewayTimeout
 	}
-	return forward.Fail(code, status, schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
+	return forward.FailedResult(code, status, schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
 }
 
 // answerReceiver copies one response to a sink and checks that each frame belongs to the
@@ -207,11 +207,11 @@
 		}
 		end, err := r.handleFrame(f)
 		if errors.Is(err, errFrameMismatch) {
-			return forward.Fail(forward.CodeAnswerMismatch, http.StatusBadGateway,
+			return forward.FailedResult(forward.CodeAnswerMismatch, http.StatusBadGateway,
 				schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
 		}
 		if err != nil {
-			return forward.Fail(forward.CodeCancelled, 499, schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
+			return forward.FailedResult(forward.CodeCancelled, 499, schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
 		}
 		if end != nil {
 			return forward.Result{Failure: end.Failure, Hint: end.Hint}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -42,7 +42,7 @@
 // routed.
 func New(now func() time.Time) *Router {
 	return &Router{
-		scheduler: placement.Default(), now: now,
+		scheduler: placement.DefaultScheduler(), now: now,
 		loads:  placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()),
 		spread: placement.NewSpread(placement.DefaultSpreadConfig()),
 	}
@@ -52,7 +52,7 @@
 // weights.
 func (r *Router) SetView(v View) {
 	w := v.Catalog.Weights
-	spread, scheduler := placement.ForWeights(w.GetLoadStall(), w.GetBatchEfficiency())
+	spread, scheduler := placement.SettingsForWeights(w.GetLoadStall(), w.GetBatchEfficiency())
 	r.mu.Lock()
 	r.spread.SetConfig(spread)
 	r.scheduler = scheduler
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -299,7 +299,7 @@
 	if !ok {
 		path = b.Model
 	}
-	id := r.Header.Get(target.RequestIDKey)
+	id := r.Header.Get(target.RequestIDHeader)
 	e.runs[id]++
 	e.totalRuns++
 	e.running[b.Model]++
@@ -364,6 +364,6 @@
 		writeError(w, http.StatusNotFound, "no_such_stream", 0)
 		return
 	}
-	after, _ := strconv.Atoi(r.Header.Get(target.LastEventID))
+	after, _ := strconv.Atoi(r.Header.Get(target.LastEventIDHeader))
 	e.sendEvents(w, r, s, after, -1)
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -55,5 +55,5 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	_, _ = fmt.Fprintf(w, "%s %s ran as number %d: %s (%s)\n", r.Method, r.URL.RequestURI(), number, body, r.Header.Get(target.RequestIDKey))
+	_, _ = fmt.Fprintf(w, "%s %s ran as number %d: %s (%s)\n", r.Method, r.URL.RequestURI(), number, body, r.Header.Get(target.RequestIDHeader))
 }
--- a/internal/target/engine.go
+++ b/internal/target/engine.go
@@ -26,9 +26,9 @@
 	UnloadPath         = "/v1/unload_lora_adapter"
 	StreamPath         = "/v1/streams/"
 	FencingTokenHeader = "X-Fencing-Number"
-	RequestIDKey       = "X-Request-Id"
+	RequestIDHeader    = "X-Request-Id"
 	NotRunHeader       = "X-Not-Run"
-	LastEventID        = "Last-Event-Id"
+	LastEventIDHeader  = "Last-Event-Id"
 )
 
 // Codes in an engine's error bodies.
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -79,7 +79,7 @@
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(RequestIDKey, r.Forward.RequestId)
+	req.Header.Set(RequestIDHeader, r.Forward.RequestId)
 	req.Header.Set(FencingTokenHeader, strconv.FormatUint(r.FencingToken, 10))
 	return r.engine.runClient.Do(req)
 }
@@ -108,12 +108,12 @@
 func FailureResult(ctx context.Context, a *attempt.Attempt, err error) forward.Result {
 	outcome := OutcomeOf(a)
 	if ctx.Err() != nil {
-		return forward.Fail(forward.CodeTimeout, http.StatusGatewayTimeout, outcome, 0, err.Error())
+		return forward.FailedResult(forward.CodeTimeout, http.StatusGatewayTimeout, outcome, 0, err.Error())
 	}
 	if outcome == schema.Outcome_OUTCOME_NOT_RUN {
-		return forward.Fail(forward.CodeTargetUnreachable, http.StatusServiceUnavailable, outcome, time.Second, err.Error())
+		return forward.FailedResult(forward.CodeTargetUnreachable, http.StatusServiceUnavailable, outcome, time.Second, err.Error())
 	}
-	return forward.Fail(forward.CodeAnswerTruncated, http.StatusBadGateway, outcome, 0, err.Error())
+	return forward.FailedResult(forward.CodeAnswerTruncated, http.StatusBadGateway, outcome, 0, err.Error())
 }
 
 // OutcomeOf returns the outcome of an attempt, as far as it is known, in its wire form.
@@ -139,12 +139,12 @@
 	code := refusal.Error.Code
 	if code == EngineNotLoaded || code == EngineStaleToken || resp.Header.Get(NotRunHeader) == "true" {
 		r.Attempt.Refused()
-		return forward.Fail(refusalCode(code), http.StatusServiceUnavailable,
+		return forward.FailedResult(refusalCode(code), http.StatusServiceUnavailable,
 			schema.Outcome_OUTCOME_NOT_RUN, time.Second, refusal.Error.Message)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		r.Attempt.ConnectionLost()
-		return forward.Fail(forward.CodeAnswerTruncated, http.StatusBadGateway,
+		return forward.FailedResult(forward.CodeAnswerTruncated, http.StatusBadGateway,
 			schema.Outcome_OUTCOME_UNKNOWN, 0, "the engine answered with status "+strconv.Itoa(resp.StatusCode))
 	}
 	return r.relay(resp, body)
@@ -172,7 +172,7 @@
 
 // CallerDisconnected returns the result of an attempt whose caller no longer accepts the answer.
 func CallerDisconnected(err error) forward.Result {
-	return forward.Fail(forward.CodeCancelled, statusClientClosed, schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
+	return forward.FailedResult(forward.CodeCancelled, statusClientClosed, schema.Outcome_OUTCOME_UNKNOWN, 0, err.Error())
 }
 
 // statusClientClosed is the customary status for a caller that has disconnected.
@@ -204,7 +204,7 @@
 
 func (r *runner) wrongAdapterResult(got string) forward.Result {
 	r.Attempt.ConnectionLost()
-	return forward.Fail(forward.CodeWrongAdapter, http.StatusBadGateway, schema.Outcome_OUTCOME_UNKNOWN, 0,
+	return forward.FailedResult(forward.CodeWrongAdapter, http.StatusBadGateway, schema.Outcome_OUTCOME_UNKNOWN, 0,
 		"asked for "+r.Name+", the answer names "+got)
 }
 
--- a/internal/target/service.go
+++ b/internal/target/service.go
@@ -56,13 +56,13 @@
 func (s *Service) Run(ctx context.Context, f *schema.Forward, a *attempt.Attempt, sink forward.Sink) forward.Result {
 	req, err := http.NewRequestWithContext(withSendTrace(ctx, a), f.Method, s.baseURL+f.Path, nonReplayableBody(f.Body))
 	if err != nil {
-		return forward.Fail(forward.CodeBadRequest, http.StatusBadRequest, schema.Outcome_OUTCOME_NOT_RUN, 0, err.Error())
+		return forward.FailedResult(forward.CodeBadRequest, http.StatusBadRequest, schema.Outcome_OUTCOME_NOT_RUN, 0, err.Error())
 	}
 	req.ContentLength = int64(len(f.Body))
 	for _, h := range f.Headers {
 		req.Header.Add(h.Name, h.Value)
 	}
-	req.Header.Set(RequestIDKey, f.RequestId)
+	req.Header.Set(RequestIDHeader, f.RequestId)
 	resp, err := s.client.Do(req)
 	if err != nil {
 		a.ConnectionLost()
@@ -71,7 +71,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(NotRunHeader) == "true" && resp.StatusCode >= http.StatusInternalServerError {
 		a.Refused()
-		return forward.Fail(forward.CodeTargetRefused, http.StatusServiceUnavailable, schema.Outcome_OUTCOME_NOT_RUN, 0, "the service did not run the call")
+		return forward.FailedResult(forward.CodeTargetRefused, http.StatusServiceUnavailable, schema.Outcome_OUTCOME_NOT_RUN, 0, "the service did not run the call")
 	}
 	a.Started()
 	return copyAnswer(ctx, resp, a, sink)
--- a/internal/target/stream.go
+++ b/internal/target/stream.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return errors.Wrap(err, "make resume request")
 	}
-	req.Header.Set(LastEventID, strconv.Itoa(r.eventsRelayed))
+	req.Header.Set(LastEventIDHeader, strconv.Itoa(r.eventsRelayed))
 	resp, err := r.engine.runClient.Do(req)
 	if err != nil {
 		return errors.Wrap(err, "resume stream")
