--- a/coord/attempt/attempt.go
+++ b/coord/attempt/attempt.go
@@ -97,9 +97,10 @@
 
 // MayRetry reports whether another attempt of the same request is allowed. A request that
 // is not idempotent may be retried only if this attempt provably did not run. MayRetry
-// returns false while a response arrives and after it is complete. A request whose
-// response has begun to reach the caller must never be retried, even if an idempotent
-// request is reported as retryable after the connection is lost.
+// returns false while a response arrives and after it is complete. It returns true for an
+// idempotent request whose connection was lost during the response, because it does not
+// know whether any of the response has reached the caller. Such a request must never be
+// retried; whoever calls MayRetry has to check this as well.
 func (a *Attempt) MayRetry(idempotent bool) bool {
 	switch a.state {
 	case NotSent, Refused:
--- a/coord/backoff/backoff.go
+++ b/coord/backoff/backoff.go
@@ -20,7 +20,7 @@
 	maxReturnSpread   = time.Second
 )
 
-// Table holds the targets with a backoff, by id. A target that restarts has a new id.
+// Table holds the targets with a backoff, by ID. A target that restarts has a new ID.
 type Table struct{ until map[string]time.Time }
 
 // New returns an empty Table.
@@ -41,7 +41,7 @@
 	return max(t.until[target].Sub(now), 0)
 }
 
-// ActiveTargets returns the ids of the targets with an active backoff, sorted.
+// ActiveTargets returns the IDs of the targets with an active backoff, sorted.
 func (t *Table) ActiveTargets(now time.Time) []string {
 	t.removeExpired(now)
 	return slices.Sorted(maps.Keys(t.until))
--- a/coord/balance/balance.go
+++ b/coord/balance/balance.go
@@ -35,7 +35,7 @@
 	TimedOut
 	// Unreachable: no connection.
 	Unreachable
-	// Abandoned: the caller left, or nothing was sent; the target's statistics do not change.
+	// Abandoned: the caller left, or nothing was sent; latency and failure rate do not change.
 	Abandoned
 	// Disconnected: failed, because the connection was lost.
 	Disconnected
@@ -52,7 +52,7 @@
 	// otherZonePenalty multiplies the score of targets in other zones: traffic between zones is
 	// charged for and takes longer.
 	otherZonePenalty = 1.2
-	// ejectAfterTimeouts is the number of consecutive timeouts that eject a target.
+	// ejectAfterTimeouts is the number of timeouts without an OK in between that eject a target.
 	ejectAfterTimeouts = 2
 	// minEjection is the first ejection time. It doubles up to maxEjection.
 	minEjection  = 800 * time.Millisecond
@@ -69,7 +69,8 @@
 	running     int
 	latency     time.Duration
 	failureRate float64
-	// timeouts counts consecutive timeouts. A failed connection counts as ejectAfterTimeouts.
+	// timeouts counts the timeouts since the last OK. A failed connection counts as
+	// ejectAfterTimeouts.
 	timeouts     int
 	ejectedUntil time.Time
 	lastPicked   time.Time
@@ -86,7 +87,7 @@
 // New returns a Balancer without statistics.
 func New() *Balancer { return &Balancer{states: map[string]*targetState{}} }
 
-// Pick returns the id of the best target and counts a request on it, or returns "" if there is
+// Pick returns the ID of the best target and counts a request on it, or returns "" if there is
 // none. Targets in exclude are not picked, and ejected ones only if there is no other.
 func (b *Balancer) Pick(now time.Time, targets []Target, exclude []string) string {
 	best := ""
@@ -179,7 +180,8 @@
 	s.ejectedUntil = now.Add(min(minEjection<<doublings, maxEjection))
 }
 
-// ExpireIdle removes the statistics of targets that have been idle for longer than idleExpiry.
+// ExpireIdle removes the statistics of targets without running requests whose last pick is longer
+// ago than idleExpiry.
 func (b *Balancer) ExpireIdle(now time.Time) {
 	for id, s := range b.states {
 		if s.running == 0 && now.Sub(s.lastPicked) > idleExpiry {
--- a/coord/balance/balance_test.go
+++ b/coord/balance/balance_test.go
@@ -39,11 +39,11 @@
 		wait     time.Duration
 		first    bool
 	}{
-		{"answers", OK, 5, 20 * time.Millisecond, 0, true},
-		{"slow answers", OK, 10, 400 * time.Millisecond, 0, false},
+		{"fast responses", OK, 5, 20 * time.Millisecond, 0, true},
+		{"slow responses", OK, 10, 400 * time.Millisecond, 0, false},
 		{"failures", Failed, 5, 10 * time.Millisecond, 0, false},
-		{"one busy answer", Busy, 1, time.Millisecond, 0, false},
-		{"a busy answer some time ago", Busy, 1, time.Millisecond, 2 * busyEjection, true},
+		{"one busy response", Busy, 1, time.Millisecond, 0, false},
+		{"a busy response some time ago", Busy, 1, time.Millisecond, 2 * busyEjection, true},
 		{"no connection", Unreachable, 1, 0, 0, false},
 		{"two timeouts", TimedOut, 2, 100 * time.Millisecond, 0, false},
 		{"callers left", Abandoned, 20, 0, 0, true},
--- a/coord/dispatch/dispatch_test.go
+++ b/coord/dispatch/dispatch_test.go
@@ -68,9 +68,9 @@
 // TestRefusals checks the cause of each kind of refusal.
 func TestRefusals(t *testing.T) {
 	for _, row := range []struct {
-		name string
-		do   func(t *testing.T, d *dispatch.Dispatcher) []dispatch.Action
-		want dispatch.Cause
+		name  string
+		apply func(t *testing.T, d *dispatch.Dispatcher) []dispatch.Action
+		want  dispatch.Cause
 	}{
 		{"the queue is full", func(_ *testing.T, d *dispatch.Dispatcher) []dispatch.Action {
 			for i := range uint64(4) {
@@ -121,7 +121,7 @@
 		}, dispatch.CauseLoadWait},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			acts := row.do(t, newDispatcher(nil))
+			acts := row.apply(t, newDispatcher(nil))
 			assert.DeepEqual(t, handles(acts, dispatch.ActRefuse), []uint64{9})
 			for _, act := range acts {
 				if act.Kind == dispatch.ActRefuse {
--- a/coord/dispatch/load.go
+++ b/coord/dispatch/load.go
@@ -40,7 +40,8 @@
 	d.emit(Action{Kind: ActRaisePermit, Priority: priority})
 }
 
-// highestPriority returns the waiting adapter with the highest load priority.
+// highestPriority returns the adapter with the highest load priority among those that requests wait
+// for and that have no slot.
 func (d *Dispatcher) highestPriority(now time.Time) (best coord.Adapter, priority float64, ok bool) {
 	for a, q := range d.waiting {
 		if d.ready(a) || d.slots.Find(a) != nil {
@@ -117,8 +118,8 @@
 	return d.schedule(now)
 }
 
-// Unloaded records the end of an unload. After a failure, the slot stays closed until Reconcile
-// shows which adapters the target holds.
+// Unloaded records the end of an unload. After a failure, the slot accepts no requests and stays
+// occupied until the target's report to Reconcile no longer lists the adapter.
 func (d *Dispatcher) Unloaded(now time.Time, name string, ok bool) []Action {
 	if ok {
 		d.slots.Drop(name)
@@ -141,8 +142,8 @@
 	return d.endLoad(now, a)
 }
 
-// LoadFailed records the end of a failed load. After MaxLoadAttempts failures the waiting requests
-// of the adapter are refused.
+// LoadFailed records the end of a failed load. After MaxLoadAttempts consecutive failures the waiting
+// requests of the adapter are refused.
 func (d *Dispatcher) LoadFailed(now time.Time, a coord.Adapter) []Action {
 	d.slots.Drop(d.engineName(a))
 	d.loadFailures[a]++
--- a/coord/dispatch/types.go
+++ b/coord/dispatch/types.go
@@ -105,8 +105,8 @@
 	MaxLoadWait time.Duration
 	// AgingInterval is the wait that raises a request by one rank.
 	AgingInterval time.Duration
-	// MaxLoadAttempts is the number of failed loads of an adapter after which its waiting
-	// requests are refused.
+	// MaxLoadAttempts is the number of consecutive failed loads of an adapter after which its
+	// waiting requests are refused.
 	MaxLoadAttempts int
 	// NameSuffix is added to adapter names at the engine, to distinguish this owner's loads from
 	// those of earlier owners.
--- a/coord/leadership/leadership_test.go
+++ b/coord/leadership/leadership_test.go
@@ -106,6 +106,7 @@
 	assert.Equal(t, m.FencingToken()>>tieBreakBits, uint64(50))
 }
 
+// TestEvents checks the phase of a leader after each event.
 func TestEvents(t *testing.T) {
 	for _, row := range []struct {
 		name  string
@@ -164,8 +165,8 @@
 	assert.Assert(t, m.FencingToken() > rejectedToken)
 }
 
-// cluster simulates a fleet in virtual time under random faults.
-type cluster struct {
+// fleet simulates a fleet in virtual time under random faults.
+type fleet struct {
 	rng      *rand.Rand
 	now      time.Time
 	revision uint64
@@ -182,73 +183,73 @@
 	m           *Machine
 }
 
-func newCluster(seed uint64, size int) *cluster {
-	c := &cluster{rng: rand.New(rand.NewPCG(seed, 1)), now: start, revision: 10, isolated: map[int]bool{}}
+func newFleet(seed uint64, size int) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: start, revision: 10, isolated: map[int]bool{}}
 	for i := range size {
 		v := &vm{id: fmt.Sprintf("vm%d", i)}
-		c.vms = append(c.vms, v)
-		c.startVM(v)
+		f.vms = append(f.vms, v)
+		f.startVM(v)
 	}
-	return c
+	return f
 }
 
-func (c *cluster) startVM(v *vm) {
+func (f *fleet) startVM(v *vm) {
 	v.incarnation++
 	v.up = true
-	v.r = newRosterWithSeeds(c.now, v.id, v.incarnation, []string{"vm0", "vm1", "vm2"})
-	v.m = New(c.now, coord.VMID(v.id), "orders", lease, false)
+	v.r = newRosterWithSeeds(f.now, v.id, v.incarnation, []string{"vm0", "vm1", "vm2"})
+	v.m = New(f.now, coord.VMID(v.id), "orders", lease, false)
 }
 
 // step advances the time by one interval, exchanges heartbeats between VMs that are not
 // isolated, and updates every Machine.
-func (c *cluster) step() {
-	c.now = c.now.Add(step)
-	if c.rng.IntN(3) == 0 {
-		c.revision++
+func (f *fleet) step() {
+	f.now = f.now.Add(step)
+	if f.rng.IntN(3) == 0 {
+		f.revision++
 	}
-	for i, v := range c.vms {
-		if !v.up && !c.now.Before(v.downUntil) {
-			c.startVM(v)
+	for i, v := range f.vms {
+		if !v.up && !f.now.Before(v.downUntil) {
+			f.startVM(v)
 		}
 		if !v.up {
 			continue
 		}
-		v.r.Tick(c.now)
-		for j, other := range c.vms {
-			if i != j && other.up && !c.isolated[i] && !c.isolated[j] {
-				other.r.Merge(c.now, v.r.Snapshot())
+		v.r.Tick(f.now)
+		for j, other := range f.vms {
+			if i != j && other.up && !f.isolated[i] && !f.isolated[j] {
+				other.r.Merge(f.now, v.r.Snapshot())
 			}
 		}
 	}
-	for _, v := range c.vms {
+	for _, v := range f.vms {
 		if !v.up {
 			continue
 		}
-		if v.m.Update(c.now, v.r) {
-			v.m.Acquire(c.now, c.revision, c.rng.IntN(4) > 0)
+		if v.m.Update(f.now, v.r) {
+			v.m.Acquire(f.now, f.revision, f.rng.IntN(4) > 0)
 		}
 		v.r.SetFencingToken(v.m.FencingToken())
 	}
 }
 
-// injectFault stops, isolates or reconnects VMs at random.
-func (c *cluster) injectFault() {
-	switch c.rng.IntN(40) {
+// injectFaults stops, isolates or reconnects VMs at random.
+func (f *fleet) injectFaults() {
+	switch f.rng.IntN(40) {
 	case 0:
-		v := c.vms[c.rng.IntN(len(c.vms))]
+		v := f.vms[f.rng.IntN(len(f.vms))]
 		v.up = false
-		v.downUntil = c.now.Add(time.Duration(1+c.rng.IntN(20)) * step)
+		v.downUntil = f.now.Add(time.Duration(1+f.rng.IntN(20)) * step)
 	case 1:
-		c.isolated[c.rng.IntN(len(c.vms))] = true
+		f.isolated[f.rng.IntN(len(f.vms))] = true
 	case 2, 3:
-		clear(c.isolated)
+		clear(f.isolated)
 	}
 }
 
 // leaders returns the VMs that may send orders.
-func (c *cluster) leaders() []*vm {
+func (f *fleet) leaders() []*vm {
 	var leaders []*vm
-	for _, v := range c.vms {
+	for _, v := range f.vms {
 		if v.up && v.m.FencingToken() != 0 {
 			leaders = append(leaders, v)
 		}
@@ -267,12 +268,12 @@
 // of the seeds, cannot know how many other VMs there are.
 func TestAtMostOneLeader(t *testing.T) {
 	for seed := range uint64(150) {
-		c := newCluster(seed, 3+int(seed%5))
+		f := newFleet(seed, 3+int(seed%5))
 		highestToken := uint64(0)
 		for i := range 400 {
-			c.injectFault()
-			c.step()
-			leaders := c.leaders()
+			f.injectFaults()
+			f.step()
+			leaders := f.leaders()
 			assert.Assert(t, len(leaders) <= 1, "seed %d, step %d: %d leaders", seed, i, len(leaders))
 			if len(leaders) == 1 {
 				token := leaders[0].m.FencingToken()
@@ -287,15 +288,15 @@
 // time after faults end.
 func TestLeaderIsElectedAfterFaultsEnd(t *testing.T) {
 	for seed := range uint64(50) {
-		c := newCluster(seed, 3+int(seed%5))
+		f := newFleet(seed, 3+int(seed%5))
 		for range 200 {
-			c.injectFault()
-			c.step()
+			f.injectFaults()
+			f.step()
 		}
-		clear(c.isolated)
+		clear(f.isolated)
 		for range int((lease+abandonAfter)/step) + 20 {
-			c.step()
+			f.step()
 		}
-		assert.Equal(t, len(c.leaders()), 1, "seed %d", seed)
+		assert.Equal(t, len(f.leaders()), 1, "seed %d", seed)
 	}
 }
--- a/coord/membership/membership.go
+++ b/coord/membership/membership.go
@@ -1,11 +1,11 @@
 // Package membership determines which VMs are live. It combines two sources: the
 // published VM list, which is authoritative but lags, and heartbeats, which are fast
-// but cannot prove a failure. Only the list adds and removes VMs; heartbeats only mark a listed VM
-// as suspect, leaving or live again.
+// but cannot prove a failure. Only the list adds and removes VMs; heartbeats only mark a
+// listed VM as suspect, leaving or live again.
 //
 // The caller must pass on list versions, heartbeats and suspicion notices as they arrive
-// and call Tick at least twice per SuspectAfter. All operations but ApplyList are O(1)
-// in the number of VMs; Tick is O(monitored VMs).
+// and call Tick at least twice per SuspectAfter. ApplyList and MonitorsOf sort the VMs, Tick
+// visits each of them, and all other operations are O(1) in the number of VMs.
 package membership
 
 import (
@@ -94,16 +94,16 @@
 // ListVersion returns the version of the newest list applied.
 func (t *Tracker) ListVersion() uint64 { return t.version }
 
-// Members returns the listed VMs, sorted by id. The slice belongs to the Tracker and must
+// Members returns the listed VMs, sorted by ID. The slice belongs to the Tracker and must
 // not be modified.
 func (t *Tracker) Members() []*Member { return t.members }
 
-// Member returns the listed VM with the given id, or nil.
+// Member returns the listed VM with the given ID, or nil.
 func (t *Tracker) Member(id coord.VMID) *Member { return t.byID[id] }
 
 // ApplyList applies a version of the published list. It ignores a version that is not
 // newer than the current one, so that a stale copy cannot bring back a removed VM. It
-// returns the ids that the list no longer contains.
+// returns the IDs that the list no longer contains.
 func (t *Tracker) ApplyList(now time.Time, version uint64, list []ListedVM) []coord.VMID {
 	if version <= t.version {
 		return nil
@@ -138,7 +138,7 @@
 	return m
 }
 
-// droppedIDs returns the ids of the current members that byID does not contain.
+// droppedIDs returns the IDs of the current members that byID does not contain.
 func (t *Tracker) droppedIDs(byID map[coord.VMID]*Member) []coord.VMID {
 	var dropped []coord.VMID
 	for _, m := range t.members {
@@ -169,7 +169,7 @@
 	return out
 }
 
-// hashRing returns the members sorted by the hashes of their ids.
+// hashRing returns the members sorted by the hashes of their IDs.
 func (t *Tracker) hashRing() []*Member {
 	ring := append([]*Member(nil), t.members...)
 	sort.Slice(ring, func(i, j int) bool { return ring[i].hash < ring[j].hash })
--- a/coord/ownership/choose.go
+++ b/coord/ownership/choose.go
@@ -8,7 +8,8 @@
 
 // Chooser selects the owner of a target from a view of the VMs. Create a new
 // Chooser when the view changes. A selection computes one rendezvous weight for
-// each live VM of the target's availability zone.
+// each live VM of the target's availability zone, or of the whole fleet if the zone
+// has none.
 type Chooser struct {
 	all   pool
 	zones map[string]*pool
@@ -51,7 +52,7 @@
 
 // Owner returns the VM that should own a target in the given availability zone. It
 // selects among all live VMs when the zone has none, and returns "" when no VM is
-// live. key is the rendezvous hash of the target's id.
+// live. key is the rendezvous hash of the target's ID.
 func (c *Chooser) Owner(key uint64, zone string) coord.VMID {
 	if p := c.zones[zone]; p != nil {
 		return p.pick(key)
--- a/coord/ownership/ownership.go
+++ b/coord/ownership/ownership.go
@@ -76,7 +76,7 @@
 // FencingToken returns the token under which this VM sends orders, or zero when it has none.
 func (m *Machine) FencingToken() uint64 { return m.token }
 
-// Holds returns the VMs that have not released the target, sorted by id.
+// Holds returns the VMs that have not released the target, sorted by ID.
 func (m *Machine) Holds() []coord.VMID {
 	out := make([]coord.VMID, 0, len(m.holds))
 	for id := range m.holds {
@@ -225,8 +225,8 @@
 
 // yieldToContender steps down in favor of another VM whose view also makes it the owner.
 // If the view still makes this VM the owner, it tries again after a delay that doubles
-// with each contest. Without the backoff, two VMs whose views keep differing would take
-// the target from each other over and over.
+// with each contest. Without the growing delay, two VMs whose views keep differing would
+// take the target from each other over and over.
 func (m *Machine) yieldToContender(now time.Time) []Action {
 	if now.Sub(m.servingSince) > contestResetAfter {
 		m.contests = 0
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -34,7 +34,7 @@
 	first := sched.Pick(p, placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()), query("x"))
 	for _, row := range []struct {
 		name      string
-		do        func(*placement.LoadTracker, *placement.Query)
+		apply     func(*placement.LoadTracker, *placement.Query)
 		removedBy string
 	}{
 		{"leaving", func(loads *placement.LoadTracker, _ *placement.Query) { loads.SetLeaving(first.Target, true) }, "leaving"},
@@ -51,7 +51,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			loads, q := placement.NewLoadTracker(placement.DefaultLoadTrackerConfig()), query("x")
-			row.do(loads, q)
+			row.apply(loads, q)
 			got := sched.Pick(p, loads, q)
 			assert.Assert(t, got.OK && got.Target != first.Target)
 			for _, r := range sched.Explain(p, loads, q) {
--- a/coord/placement/weights.go
+++ b/coord/placement/weights.go
@@ -10,8 +10,9 @@
 	affinityStepForBatches  = 2.0
 )
 
-// SettingsForWeights returns the settings for the bundle's weights, each from 0 to 1. Batch efficiency
-// grows if an adapter is spread later, and if requests stay longer with a target that has a queue.
+// SettingsForWeights returns the settings for the bundle's weights, each from 0 to 1. Their ratio
+// counts; if both are 0, load stalls have full weight. Batch efficiency grows if an adapter is spread
+// later, and if requests stay longer with a target that has a queue.
 func SettingsForWeights(loadStall, batchEfficiency float64) (SpreadConfig, *Scheduler) {
 	share := 0.0
 	if sum := loadStall + batchEfficiency; sum > 0 {
--- a/coord/quarantine/findings.go
+++ b/coord/quarantine/findings.go
@@ -10,8 +10,8 @@
 type Finding struct {
 	Digest  Digest
 	Targets []string
-	// Since is the time of the first evidence. BlockedFor is how much longer the content is
-	// blocked; 0 means that it is suspect.
+	// Since is the time at which the sending VM got its first evidence. BlockedFor is how much
+	// longer the content is blocked; 0 means that it is suspect.
 	Since      time.Time
 	BlockedFor time.Duration
 }
@@ -21,8 +21,9 @@
 	return Finding{Digest: d, Targets: c.crashedTargets, Since: c.firstEvidence, BlockedFor: max(c.blockedUntil.Sub(now), 0)}
 }
 
-// Merge adds a finding of another VM. Content that is blocked there is blocked here for the same
-// time. Content whose block has ended there may be tried here as well.
+// Merge adds a finding of another VM. Content that is blocked there is blocked here for at least the
+// same time. Content whose block has ended there may run as a trial here as well, unless this VM
+// itself blocks it for longer.
 func (t *Table) Merge(now time.Time, f Finding) {
 	var blockedUntil time.Time
 	if c := t.contents[f.Digest]; c != nil {
--- a/coord/quarantine/quarantine.go
+++ b/coord/quarantine/quarantine.go
@@ -13,9 +13,10 @@
 //     crashed under two of its requests, one after the other, without a success in between.
 //   - Content under which one target crashed is suspect. Only one such request runs at a time in
 //     the whole fleet, at a target where no other suspect runs, until one succeeds.
-//   - Content under which three targets crashed, or two if no other candidate ran there, is
-//     blocked: its requests are refused at once for blockDuration. After that, one request may run
-//     as a trial; another crash blocks the content for repeatBlockDuration.
+//   - Content under which three targets crashed is blocked: its requests are refused at once for
+//     blockDuration. Two targets suffice if all other content that the second crash disconnected
+//     is known good. After the block, one request may run as a trial; another crash blocks the
+//     content for repeatBlockDuration.
 //
 // A harmless request beside a crashing one becomes suspect as well. It is affected only if the same
 // content is requested twice at once, or if it is disconnected a second time and requested a third
@@ -47,9 +48,9 @@
 	// disconnected by then for the target to count as crashed.
 	minDisconnectedShare = 0.5
 	// blockAfterCrashes is the number of crashed targets after which content is blocked. One less
-	// suffices where the content is the only candidate. With one less in all cases, popular content
-	// that ran beside crashing content while the latter was new was blocked in 5 of 30 simulated
-	// fleets (TestRandomFleets).
+	// suffices where all other content that the last crash disconnected is known good. With one
+	// less in all cases, popular content that ran beside crashing content while the latter was new
+	// was blocked in 5 of 30 simulated fleets (TestRandomFleets).
 	blockAfterCrashes = 3
 	// suspectTTL is how long suspicion lasts without new evidence: many times the longest wait of a
 	// caller.
@@ -113,7 +114,8 @@
 
 // incident is a group of disconnects at one target.
 type incident struct {
-	startedAt    time.Time
+	startedAt time.Time
+	// inFlight is the number of requests in flight at the target at the first disconnect.
 	inFlight     int
 	disconnected []request
 }
@@ -268,11 +270,11 @@
 	}
 }
 
-// ForgetVM removes the requests of an unresponsive VM whose ticket (sequence number) is below
-// before.
-func (t *Table) ForgetVM(vm coord.VMID, before uint64) {
+// ForgetVM removes the requests of a VM whose ticket (sequence number) is below beforeTicket: the VM
+// is unresponsive, or has restarted and its new tickets are not below it.
+func (t *Table) ForgetVM(vm coord.VMID, beforeTicket uint64) {
 	for key, r := range t.inFlight {
-		if key.VM == vm && key.Ticket < before {
+		if key.VM == vm && key.Ticket < beforeTicket {
 			t.removeRequest(key, r)
 			t.releaseTrial(key)
 		}
--- a/coord/quarantine/quarantine_test.go
+++ b/coord/quarantine/quarantine_test.go
@@ -333,7 +333,7 @@
 			crashTarget(table, at(10_100+1000*k), k)
 		}
 	}
-	assert.Assert(t, crashes <= blockAfterCrashes, "%d targets ended", crashes)
+	assert.Assert(t, crashes <= blockAfterCrashes, "%d targets crashed", crashes)
 	assert.Assert(t, len(table.contents) <= maxContents)
 }
 
--- a/coord/quota/fleet_test.go
+++ b/coord/quota/fleet_test.go
@@ -58,10 +58,10 @@
 // Times of the simulation, as in the protocols of the fleet.
 const (
 	tickInterval = 100 * time.Millisecond
-	// suspectAfter is the time without a heartbeat after which a VM is suspected, removeAfter the
+	// suspectAfter is the time without a heartbeat after which a VM is suspected, forgetAfter the
 	// time after which it no longer counts as part of the fleet.
 	suspectAfter    = 2100 * time.Millisecond
-	removeAfter     = 15 * time.Second
+	forgetAfter     = 15 * time.Second
 	disconnectAfter = 300 * time.Millisecond
 )
 
@@ -113,7 +113,7 @@
 			if elapsed < suspectAfter {
 				live++
 			}
-			if elapsed < removeAfter || 2*live <= len(f.vms) {
+			if elapsed < forgetAfter || 2*live <= len(f.vms) {
 				size++
 			}
 		}
--- a/coord/quota/quota.go
+++ b/coord/quota/quota.go
@@ -13,7 +13,7 @@
 //
 // A bucket that fills with the rate alone and holds the burst would refuse a team that continuously
 // uses the rate and an eighth of its burst per second, although the deployment allows this: it
-// refused 207 of 11,000 requests of a simulated day. Therefore the burst is spread over the window,
+// refused 207 of 11,000 requests of a simulated load. Therefore the burst is spread over the window,
 // and only a part of the tolerance may be spent at once. With an excess ratio of 0.25 the buckets
 // fill with 0.97 of L / W, which leaves 0.28 of L:
 //
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -38,9 +38,9 @@
 	assert.Equal(t, ran, 13, "capacity, and one request in debt")
 }
 
-// TestRejectedCallersGetConsecutiveRetryDelays checks that each caller's retry delay ends when the
+// TestRefusedCallersGetConsecutiveRetryDelays checks that each caller's retry delay ends when the
 // units for its own request are available.
-func TestRejectedCallersGetConsecutiveRetryDelays(t *testing.T) {
+func TestRefusedCallersGetConsecutiveRetryDelays(t *testing.T) {
 	l := NewLedger(deploymentTolerance)
 	l.SetLimits(start, limits(10_000))
 	l.Charge(at(time.Millisecond), "crew", 1000)
--- a/coord/ratelimit/fleet_test.go
+++ b/coord/ratelimit/fleet_test.go
@@ -95,10 +95,11 @@
 
 // simulation is one fleet and its faults.
 type simulation struct {
-	vms           int
-	rate          float64
-	detectionTime time.Duration
-	rng           *rand.Rand
+	vms  int
+	rate float64
+	// suspectAfter is the time after which VMs detect that another VM is gone or cut off.
+	suspectAfter time.Duration
+	rng          *rand.Rand
 	// leaders holds the leader of each VM, fleetShare the part of the fleet that each leader
 	// assumes to serve.
 	leaders    []int
@@ -144,7 +145,7 @@
 	switch {
 	case at%(10*time.Second) == 3*time.Second: // another VM becomes the leader, the previous one is gone
 		next := (sim.leaders[0] + 1) % sim.vms
-		sim.noLeaderUntil = now.Add(sim.detectionTime)
+		sim.noLeaderUntil = now.Add(sim.suspectAfter)
 		for i := range sim.leaders {
 			sim.leaders[i] = next
 		}
@@ -157,7 +158,7 @@
 		}
 		sim.fleetShare[next] = 1.0 / 3
 		s.becomeLeader(now, next)
-	case at%(10*time.Second) == 6*time.Second+sim.detectionTime.Truncate(tickInterval): // the rest detects the partition
+	case at%(10*time.Second) == 6*time.Second+sim.suspectAfter.Truncate(tickInterval): // the rest detects the partition
 		sim.fleetShare[sim.leaders[sim.vms-1]] = 2.0 / 3
 	case at%(10*time.Second) == 9*time.Second: // the partition ends
 		for i := range sim.leaders {
@@ -169,7 +170,7 @@
 
 func newSimulation(vms int, rate float64, seed uint64) *simulation {
 	sim := &simulation{
-		vms: vms, rate: rate, detectionTime: 2100 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 1)),
+		vms: vms, rate: rate, suspectAfter: 2100 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, 1)),
 		leaders: make([]int, vms), fleetShare: map[int]float64{0: 1},
 	}
 	return sim
--- a/coord/roster/gossip.go
+++ b/coord/roster/gossip.go
@@ -137,9 +137,9 @@
 	}
 	before := m.State
 	unresponsiveFor := now.Sub(m.LastHeartbeat)
-	var restarted uint64
+	var newIncarnation uint64
 	if e.Incarnation != m.Incarnation {
-		restarted = e.Incarnation
+		newIncarnation = e.Incarnation
 	}
 	m.Entry = e
 	if digest := e.digest(); digest != m.digest {
@@ -149,7 +149,7 @@
 	}
 	m.LastHeartbeat = now
 	m.State = stateOf(e)
-	return Change{VM: e.ID, Old: before.String(), New: m.State.String(), UnresponsiveFor: unresponsiveFor, NewIncarnation: restarted}, before != m.State || restarted != 0
+	return Change{VM: e.ID, Old: before.String(), New: m.State.String(), UnresponsiveFor: unresponsiveFor, NewIncarnation: newIncarnation}, before != m.State || newIncarnation != 0
 }
 
 // stateOf returns the state of a VM from which e has just been received.
--- a/coord/roster/roster.go
+++ b/coord/roster/roster.go
@@ -6,7 +6,8 @@
 //
 // A VM joins by contacting a member of the fleet. It leaves by announcing it, or by being
 // unresponsive: it is suspect after SuspectAfter, and no longer counts as part of the
-// fleet after ForgetAfter.
+// fleet after ForgetAfter. A VM that has announced that it is leaving no longer counts once
+// it has been unresponsive for SuspectAfter.
 //
 // roster.go holds the view of one VM, gossip.go the exchange of entries between VMs.
 //
@@ -142,7 +143,7 @@
 // Member returns another VM of the fleet, or nil if it is not known.
 func (r *Roster) Member(id coord.VMID) *Member { return r.members[id] }
 
-// Members returns the other VMs of the fleet, sorted by id.
+// Members returns the other VMs of the fleet, sorted by ID.
 func (r *Roster) Members() []*Member {
 	members := make([]*Member, 0, len(r.members))
 	for _, m := range r.members {
@@ -152,7 +153,7 @@
 	return members
 }
 
-// Live returns the entries of all live VMs, sorted by id. It includes this VM unless it is
+// Live returns the entries of all live VMs, sorted by ID. It includes this VM unless it is
 // leaving.
 func (r *Roster) Live() []Entry {
 	var live []Entry
@@ -183,7 +184,7 @@
 func (r *Roster) Size() int { return len(r.members) + 1 }
 
 // HasMajority reports whether this VM is in contact with more than half of the fleet,
-// including itself. Of two equal halves, the one that contains the lowest id has the
+// including itself. Of two equal halves, the one that contains the lowest ID has the
 // majority, unless some seeds have not been seen yet.
 func (r *Roster) HasMajority() bool {
 	responsive := r.ResponsiveCount()
@@ -205,7 +206,7 @@
 	return responsive
 }
 
-// isLowestIDResponsive reports whether the VM with the lowest id is not suspect.
+// isLowestIDResponsive reports whether the VM with the lowest ID is not suspect.
 func (r *Roster) isLowestIDResponsive() bool {
 	lowest, responsive := r.self.ID, true
 	for id, m := range r.members {
--- a/coord/servicequeue/limit.go
+++ b/coord/servicequeue/limit.go
@@ -7,8 +7,8 @@
 //
 // A target gets one request more than it has slots. The extra request waits at the target, so
 // that the next call starts while the end of the previous one is reported and the next grant is
-// in transit: about 6 ms for calls of 60 ms. A target that rejects the extra request gets only
-// as many as it has slots.
+// in transit: about 6 ms for calls of 60 ms. Once a target has rejected the extra request, all
+// targets of the service get only as many as they have slots.
 //
 // The limit does not search for the best throughput, although some targets are slower when
 // nearly full. Durations of single calls vary so much that such a search chose four slots where
@@ -16,7 +16,7 @@
 type concurrencyLimit struct {
 	// mean is the moving average of call durations, and deviation that of their distance from it.
 	mean, deviation time.Duration
-	// noExtra is set once a target has rejected the request beyond its slots.
+	// noExtra is set once any target has rejected the request beyond its slots.
 	noExtra bool
 }
 
--- a/coord/servicequeue/limited_test.go
+++ b/coord/servicequeue/limited_test.go
@@ -9,8 +9,8 @@
 	"github.com/junctionfold/junctionfold/coord/balance"
 )
 
-// run submits a request every 20 ms for a time and ends granted requests at once. It returns the
-// number of grants by target and the retry delays of the refused requests.
+// run submits a request every 20 ms for the duration d and ends granted requests at once. It returns
+// the number of grants by target and the retry delays of the refused requests.
 func (h *harness) run(d time.Duration) (granted map[string]int, retryDelays []time.Duration) {
 	granted = map[string]int{}
 	apply := func(acts []Action) {
--- a/coord/servicequeue/queue.go
+++ b/coord/servicequeue/queue.go
@@ -5,8 +5,9 @@
 // load. Therefore one VM, the leader, tracks the requests in flight at each target and queues the
 // others:
 //
-//   - A target gets one request more than it has slots (limit.go), and no more requests per
-//     second than its own rate limit (rates.go).
+//   - A target gets one request more than it has slots, or as many as it has slots once a target
+//     has rejected the extra one (limit.go). It gets no more requests per second than its own
+//     rate limit (rates.go).
 //   - Requests that can still meet their soft deadline go first, by priority and age; the others
 //     follow.
 //   - A request whose expected wait is too long for its soft deadline waits among the others, or
@@ -172,12 +173,12 @@
 	}
 }
 
-// RemoveVM removes the waiting and running requests of a VM with sequence numbers below since:
-// the VM is unresponsive, or has restarted and its new sequence numbers begin at since.
-func (q *Queue) RemoveVM(now time.Time, vm coord.VMID, since uint64) []Action {
-	q.waiting = slices.DeleteFunc(q.waiting, func(r *Request) bool { return r.VM == vm && r.Ticket < since })
+// RemoveVM removes the waiting and running requests of a VM whose ticket (sequence number) is below
+// beforeTicket: the VM is unresponsive, or has restarted and its new tickets are not below it.
+func (q *Queue) RemoveVM(now time.Time, vm coord.VMID, beforeTicket uint64) []Action {
+	q.waiting = slices.DeleteFunc(q.waiting, func(r *Request) bool { return r.VM == vm && r.Ticket < beforeTicket })
 	for key, g := range q.grants {
-		if key.VM == vm && key.Ticket < since {
+		if key.VM == vm && key.Ticket < beforeTicket {
 			q.release(key, g)
 			q.balancer.Done(now, g.target, balance.Abandoned, 0)
 		}
@@ -292,7 +293,8 @@
 }
 
 // pick returns the best target with capacity and counts the request there, or returns "" if there
-// is none. Ejected targets are used only if all eligible targets are ejected.
+// is none. A rate-limited target that is due for a probe comes first. Ejected targets are used only
+// if all eligible targets are ejected.
 func (q *Queue) pick(now time.Time, r *Request) string {
 	var available, withCapacity []balance.Target
 	for _, t := range q.targets {
--- a/coord/servicequeue/rates.go
+++ b/coord/servicequeue/rates.go
@@ -28,8 +28,9 @@
 	return q.running[t.ID] < q.limit.forTarget(t.Slots) && q.pacer.Ready(now, t.ID)
 }
 
-// throughput returns the number of requests per second that all targets accept, by their slots or
-// their rate limits, and the expected time until one of them accepts the next.
+// throughput returns the number of requests per second that all targets that are not ejected
+// accept, by their slots or their rate limits, and the expected time until one of them accepts the
+// next. If all targets are ejected, it returns the values of one target with a single slot.
 func (q *Queue) throughput(now time.Time) (perSecond float64, untilFirst time.Duration) {
 	serviceTime := q.limit.serviceTime()
 	untilFirst = ratelimit.MaxWait
@@ -57,6 +58,8 @@
 }
 
 // retryDelay returns the delay after which a refused caller should retry, given its expected wait.
+// While a target of the service limits its rate, the delays are spread over the time in which
+// perSecond requests per second serve the waiting and the refused callers.
 func (q *Queue) retryDelay(now time.Time, wait time.Duration, perSecond float64) time.Duration {
 	if q.anyLimited() {
 		return max(q.retryDelays.Next(now, len(q.waiting), perSecond), minRetryDelay)
--- a/coord/servicequeue/simulation_test.go
+++ b/coord/servicequeue/simulation_test.go
@@ -52,8 +52,8 @@
 	sim.events = slices.Insert(sim.events, i, e)
 }
 
-// serviceTime draws the duration of a call: lognormal with a spread of 0.5, five times as long for
-// one call in 100.
+// serviceTime draws the duration of a call. It is lognormal with a mean of 60 ms and a coefficient of
+// variation of 0.5, five times as long for one call in 100, and at most 450 ms.
 func (sim *simulation) serviceTime() time.Duration {
 	ms := 60 * math.Exp(0.47*sim.rng.NormFloat64()-0.11)
 	if sim.rng.IntN(100) == 0 {
@@ -116,7 +116,8 @@
 	sim.after(delay+2*sim.networkDelay, retry)
 }
 
-// run simulates callers with perSecond calls a second, and 1.5 times as many for 2.5 s.
+// run simulates callers with perSecond calls a second, and 1.5 times as many for 2.5 s in the second
+// half of the duration.
 func (sim *simulation) run(perSecond float64, duration time.Duration, submit func(c *caller)) callCounts {
 	var arrive func()
 	arrive = func() {
@@ -278,16 +279,16 @@
 					if method == "vms" {
 						submit, sum = sim.localBalancers, &local
 					}
-					o := sim.run(row.perSecond, 12*time.Second, submit())
-					sum.offered += o.offered
-					sum.inTime += o.inTime
-					sum.late += o.late
-					sum.refused += o.refused
-					sum.rejected += o.rejected
+					counts := sim.run(row.perSecond, 12*time.Second, submit())
+					sum.offered += counts.offered
+					sum.inTime += counts.inTime
+					sum.late += counts.late
+					sum.refused += counts.refused
+					sum.rejected += counts.rejected
 				}
 			}
-			for name, o := range map[string]callCounts{"queue": queue, "VMs": local} {
-				t.Logf("%s: in time %.3f, late %.3f, refused %.3f, rejected by targets %d of %d", name, o.share(o.inTime), o.share(o.late), o.share(o.refused), o.rejected, o.offered)
+			for name, counts := range map[string]callCounts{"queue": queue, "VMs": local} {
+				t.Logf("%s: in time %.3f, late %.3f, refused %.3f, rejected by targets %d of %d", name, counts.share(counts.inTime), counts.share(counts.late), counts.share(counts.refused), counts.rejected, counts.offered)
 			}
 			assert.Assert(t, queue.share(queue.inTime) >= row.inTime)
 			assert.Assert(t, queue.share(queue.inTime) >= local.share(local.inTime)-0.01)
