--- a/coord/enginecost/engine.go
+++ b/coord/enginecost/engine.go
@@ -118,7 +118,7 @@
 }
 
 // observePrefill updates the engine's own time per token with a first event that came tookMs
-// after the prefill of so many tokens began. A slow engine lengthens both the prefill and the
+// after the prefill of the given tokens began. A slow engine lengthens both the prefill and the
 // overhead; the weight of the observation grows with the prefill's part of the expected time.
 func (e *Engine) observePrefill(now time.Time, s *Speed, tokens, tookMs float64) {
 	prefill := tokens * s.timePerToken.value()
--- a/coord/enginecost/speed.go
+++ b/coord/enginecost/speed.go
@@ -50,7 +50,7 @@
 }
 
 // observePrefill updates the estimates with a first event that came tookMs after the engine
-// began to prefill so many tokens. It updates the estimate of the larger part of the expected
+// began to prefill the given tokens. It updates the estimate of the larger part of the expected
 // time. It updates the overhead only if the prefill began as soon as the request was sent,
 // because the begin of a later prefill is itself derived from the overhead.
 func (s *Speed) observePrefill(tokens, tookMs float64, startedAtOnce bool) {
--- a/coord/loadlimit/loadlimit.go
+++ b/coord/loadlimit/loadlimit.go
@@ -27,7 +27,7 @@
 	// the store's limit all loads are late; one engine in four may be slow for other reasons.
 	lateVotesToShrink = 7
 	// initialGrowth is the growth factor until the first late step. Each step takes the time
-	// of a load and of its first response, some 0.4 s. In a simulated storm of requests for
+	// of a load and of its first response, some 0.4 s. In a simulated burst of requests for
 	// new adapters, with an initial limit of 24 at a store limit of 32, 0.917 of the requests
 	// of 12 s were in time with it and 0.859 with 1.5.
 	initialGrowth = 1.25
@@ -35,8 +35,8 @@
 	// are detected as late, because a load of 250 ms is expected with a margin of 15 ms.
 	probeGrowth = 1.07
 	// growBackoffMin is the time from a late step to the next growth. It doubles with each
-	// consecutive late step, up to growBackoffMax. A growth beyond the store's limit makes
-	// the loads of half a second late by a tenth.
+	// consecutive late step, up to growBackoffMax. After a growth beyond the store's limit,
+	// loads take a tenth longer for about half a second.
 	growBackoffMin = 4 * time.Second
 	growBackoffMax = 16 * time.Second
 	// drainTime is how long the excess loads stay in progress after a shrink and make other
@@ -100,7 +100,7 @@
 // ObserveFull records that a load has to wait because Max loads are in progress.
 func (l *Limit) ObserveFull() { l.full = true }
 
-// End records whether a load was late, that is, not complete at its expected time.
+// End records whether a load was late, that is, not finished at its expected time.
 func (l *Limit) End(now time.Time, s StartedLoad, late bool) {
 	if s.step != l.step || !s.counts {
 		return
--- a/coord/loadlimit/loadlimit_test.go
+++ b/coord/loadlimit/loadlimit_test.go
@@ -35,11 +35,11 @@
 
 type outcomeQueue []outcome
 
-func (t outcomeQueue) Len() int           { return len(t) }
-func (t outcomeQueue) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
-func (t outcomeQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *outcomeQueue) Push(x any)        { *t = append(*t, x.(outcome)) }
-func (t *outcomeQueue) Pop() any          { old := *t; x := old[len(old)-1]; *t = old[:len(old)-1]; return x }
+func (q outcomeQueue) Len() int           { return len(q) }
+func (q outcomeQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q outcomeQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *outcomeQueue) Push(x any)        { *q = append(*q, x.(outcome)) }
+func (q *outcomeQueue) Pop() any          { old := *q; x := old[len(old)-1]; *q = old[:len(old)-1]; return x }
 
 // simulationResult holds the measurements of a simulation.
 type simulationResult struct {
@@ -122,9 +122,9 @@
 // store's limit. In 30 s the constant serves 2,016 loads, the search 3,700 or more. The test
 // also bounds how soon the gain shows.
 func TestSearchServesMoreThanFixedLimit(t *testing.T) {
-	const constant = 16 / 0.265 * 30 // loads with a limit of 16, each of which ends at its expected time
+	const fixedLimitLoads = 16 / 0.265 * 30 // loads with a limit of 16, each of which ends at its expected time
 	got := simulate(New(16), 32, 1e4, 30*time.Second, 0, 1)
-	assert.Assert(t, float64(got.loads) > 1.9*constant, "%d loads", got.loads)
+	assert.Assert(t, float64(got.loads) > 1.9*fixedLimitLoads, "%d loads", got.loads)
 	early := simulate(New(16), 32, 1e4, 4*time.Second, 0, 1)
 	assert.Assert(t, early.loads > 340, "%d loads in the first 4 s; the store's limit allows 512, the constant 256", early.loads)
 }
--- a/coord/loadpermit/loadpermit.go
+++ b/coord/loadpermit/loadpermit.go
@@ -82,7 +82,7 @@
 	return granted
 }
 
-// NextGrant returns the earliest time at which Tick can grant another request.
+// NextGrant returns the earliest time at which the rate allows Tick to grant another request.
 func (iss *Issuer) NextGrant() time.Time { return iss.nextGrantAt }
 
 func (iss *Issuer) grantInterval() time.Duration {
--- a/coord/loadtime/loadtime.go
+++ b/coord/loadtime/loadtime.go
@@ -35,14 +35,14 @@
 
 // Parameters of the trials.
 const (
-	// minTrialInterval is the initial number of loads per trial. The interval doubles with
-	// each failed trial of the smallest reduction, up to maxTrialInterval. About 1 in 100
+	// minTrialInterval is the initial number of loads per trial. A failed trial that leaves
+	// the smallest reduction doubles the interval, up to maxTrialInterval. About 1 in 100
 	// loads then has a request rejected because of a trial.
 	minTrialInterval = 4
 	maxTrialInterval = 96
 	// minTrialReduction is the initial fraction of the estimate by which a trial shortens it.
-	// It doubles with each success up to maxTrialReduction: 600 ms fall to 290 ms within five
-	// trials.
+	// It doubles with each lowering of the estimate, up to maxTrialReduction, and halves with
+	// each failed trial. Five lowerings take 600 ms below 290 ms.
 	minTrialReduction = 0.03
 	maxTrialReduction = 0.25
 	// requiredSuccesses is the number of consecutive trials that must succeed before the
@@ -94,7 +94,7 @@
 	return max(time.Duration((1-e.trialReduction)*float64(e.value)), minEstimate)
 }
 
-// ObserveRejection records that a request was rejected because its load was not complete. after is
+// ObserveRejection records that a request was rejected because its load was not finished. after is
 // the time from the start of the load until the request was sent; load identifies the load.
 func (e *Estimate) ObserveRejection(load uint64, after time.Duration) {
 	e.consecutiveSuccesses, e.longestSuccess = 0, 0
@@ -137,7 +137,7 @@
 	}
 }
 
-// trialSucceeded records a trial whose load was complete in time.
+// trialSucceeded records a trial whose load was finished in time.
 func (e *Estimate) trialSucceeded(after time.Duration) {
 	e.consecutiveSuccesses++
 	e.longestSuccess = max(e.longestSuccess, after)
--- a/coord/policy_test.go
+++ b/coord/policy_test.go
@@ -59,8 +59,8 @@
 // systems are the systems that each case runs with, by name.
 var systems = map[string]func(r *replay, seed uint64) (system, []*batcher){
 	"ours": func(r *replay, _ uint64) (system, []*batcher) { return newDaemonRun(r, 1, 0, noTuning) },
-	// ours_batch is the same system with Catasto's weighting at its extreme: all weight
-	// is on batch efficiency.
+	// ours_batch is the same system with all weight on batch efficiency and none on load
+	// stalls, the extreme of Catasto's weighting (docs/design/load-decisions.md).
 	"ours_batch": func(r *replay, _ uint64) (system, []*batcher) { return newDaemonRun(r, 0, 1, noTuning) },
 	"random": func(r *replay, seed uint64) (system, []*batcher) {
 		return newBaselineRun(newBaseline(r, seed, pickRandom))
--- a/coord/replay_test.go
+++ b/coord/replay_test.go
@@ -64,11 +64,11 @@
 // arrivals generates the requests of a scenario from a seed.
 func (s scenario) arrivals(seed uint64) []arrival {
 	rng := rand.New(rand.NewPCG(seed, 99))
-	weights := make([]float64, s.adapters)
+	cumulativeWeights := make([]float64, s.adapters)
 	sum := 0.0
-	for i := range weights {
+	for i := range cumulativeWeights {
 		sum += 1 / math.Pow(float64(i+1), s.zipf)
-		weights[i] = sum
+		cumulativeWeights[i] = sum
 	}
 	var out []arrival
 	for t := time.Duration(0); ; {
@@ -76,7 +76,7 @@
 		if t > s.length {
 			return out
 		}
-		pick, _ := slices.BinarySearch(weights, rng.Float64()*sum)
+		pick, _ := slices.BinarySearch(cumulativeWeights, rng.Float64()*sum)
 		if s.shiftAt > 0 && t >= s.shiftAt {
 			pick = (pick + s.adapters/2) % s.adapters
 		}
--- a/coord/safety_test.go
+++ b/coord/safety_test.go
@@ -83,8 +83,10 @@
 	"request", "request", "request", "finish", "finish", "abort", "tick", "tick", "set desired", "set desired", "lose", "restart",
 }
 
-// TestFleetKeepsPromises runs random schedules of delays, losses, pauses, restarts and
-// changing views against engines that check fencing tokens and engines that ignore them.
+// TestFleetKeepsPromises checks that every request runs on its own adapter and at most once,
+// and that no VM unloads an adapter in use. It runs random schedules of delays, losses,
+// pauses, restarts and changing views against engines that check fencing tokens and engines
+// that ignore them.
 func TestFleetKeepsPromises(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fencing=%t", fencing), func(t *testing.T) {
--- a/coord/scheduler/burst_test.go
+++ b/coord/scheduler/burst_test.go
@@ -11,16 +11,16 @@
 	return Config{AdapterSlots: largeFleet.slots, Batch: largeFleet.batch, CacheTokens: 90_512, MaxLoads: initialLimit}
 }
 
-// TestBurstOfNewAdapters simulates the first seconds of a heavy day on 78 engines that hold
+// TestBurstOfNewAdapters simulates the first seconds of heavy traffic on 78 engines that hold
 // nothing: 355 requests per second for 24,000 adapters, of which the most popular one gets 6 in
 // 100, and a store that serves 32 loads at full speed. The scheduler is not configured with this
 // number.
 //
 // It guards against a load limit below the store's capacity. A deployment of 195 VMs loaded 2,168
-// adapters on a day of 34 s, which is the rate of 16 concurrent loads: loads waited all day at half
-// of the store's rate, and requests waited for up to 3.1 s before they were refused. In this
-// simulation, seeds 0 to 3, 12 s, the shares of requests in time and of requests refused after a
-// quarter of their objective or more are 0.721 and 0.305 with a constant limit of 16, 0.812 and
+// adapters in 34 s, which is the rate of 16 concurrent loads: loads waited all the time at half of
+// the store's rate, and requests waited for up to 3.1 s before they were refused. In this
+// simulation, over 12 s, the shares of requests in time and of requests refused after a quarter of
+// their objective or more are 0.721 and 0.305 with a constant limit of 16, 0.812 and
 // 0.167 with 24, 0.924 and 0.046 with 32; with the learnt limit 0.887 and 0.073 from 16, 0.917 and
 // 0.052 from 24, 0.938 and 0.035 from 32.
 func TestBurstOfNewAdapters(t *testing.T) {
--- a/coord/scheduler/freed.go
+++ b/coord/scheduler/freed.go
@@ -30,9 +30,9 @@
 	return [...]string{"answer", "report", "rejection", "request", "target_gone"}[f]
 }
 
-// freeSlot frees an adapter's slot at a target and stops counting its load as in flight.
-func (s *Scheduler) freeSlot(t *target, ref coord.AdapterRef, cause FreedBy) {
+// freeSlot frees an adapter's slot at a target and stops counting its load as in progress.
+func (s *Scheduler) freeSlot(t *target, ref coord.AdapterRef, evidence FreedBy) {
 	s.countLoad(t.slots[ref], false)
 	t.removeSlot(ref)
-	s.freed[cause]++
+	s.freed[evidence]++
 }
--- a/coord/scheduler/grants.go
+++ b/coord/scheduler/grants.go
@@ -14,8 +14,8 @@
 	target *target
 	ref    coord.AdapterRef
 	tokens int
-	// pendingPrompt is the part of the prompt that the target has to read. It is nil after the
-	// first event and for adopted requests.
+	// pendingPrompt is the part of the prompt that the target has to prefill. It is nil after the
+	// first event, after the VM became unresponsive, and for adopted requests.
 	pendingPrompt *enginecost.PendingPrompt
 	// firstEventAt is the time of the first event; zero before it.
 	firstEventAt time.Time
@@ -86,10 +86,11 @@
 	}
 }
 
-// recordLoadTiming records whether the load that a request was the first to use was late.
+// recordLoadTiming records whether the load that a request was the first to use was late. If late
+// is false, the request has run, which also confirms the adapter.
 func (s *Scheduler) recordLoadTiming(now time.Time, g *grant, late bool) {
 	if !late {
-		s.observeLoadInTime(g)
+		s.observeLoadOnTime(g)
 		g.confirmAdapter()
 	}
 	s.loadLimit.End(now, g.startedLoad, late)
@@ -171,8 +172,9 @@
 	return s.takeActions()
 }
 
-// VMRestarted records that a VM has restarted. Its earlier process is gone, and so are that
-// process's connections. Tickets of the new process are minTicket or higher.
+// VMRestarted records that a VM has restarted. Its earlier incarnation is gone, and so are that
+// incarnation's connections. Requests of the new incarnation have sequence numbers of minTicket or
+// higher.
 func (s *Scheduler) VMRestarted(now time.Time, vm coord.VMID, minTicket uint64) []Action {
 	for key, g := range s.grants {
 		if key.VM == vm && key.Ticket < minTicket {
--- a/coord/scheduler/health.go
+++ b/coord/scheduler/health.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// health is the state of a target's circuit breaker, derived from the target's answers.
+// health is the state of a target's circuit breaker, derived from the ends of its requests.
 type health struct {
 	consecutiveFailures int
 	// ejectedUntil is when an ejected target may be probed again.
@@ -37,9 +37,10 @@
 	}
 }
 
-func (h *health) recordFailures(now time.Time, weight int) {
+// recordFailures adds count consecutive failures, and ejects the target if there are enough.
+func (h *health) recordFailures(now time.Time, count int) {
 	h.probing = false
-	h.consecutiveFailures += weight
+	h.consecutiveFailures += count
 	if h.consecutiveFailures < ejectAfterFailures {
 		return
 	}
--- a/coord/scheduler/heat.go
+++ b/coord/scheduler/heat.go
@@ -47,21 +47,21 @@
 // from evicting each other in turn.
 const minResidency = 300 * time.Millisecond
 
-// victim returns the adapter to evict for another one: the evictable adapter with the lowest heat,
-// which is returned as value. ok is false if no adapter may be evicted.
-func (s *Scheduler) victim(now time.Time, t *target) (ref coord.AdapterRef, value float64, ok bool) {
+// victim returns the adapter to evict for another one, which is the evictable adapter with the
+// lowest heat, and that heat. ok is false if no adapter may be evicted.
+func (s *Scheduler) victim(now time.Time, t *target) (ref coord.AdapterRef, victimHeat float64, ok bool) {
 	if !s.isRunningKnown(now) {
 		return ref, 0, false
 	}
-	var used time.Time
+	var victimUsed time.Time
 	for r, sl := range t.slots {
 		if sl.state != resident || sl.inUse > 0 || now.Before(sl.pinnedUntil) || now.Sub(sl.stateSince) < minResidency {
 			continue
 		}
 		h := s.heatOf(now, r)
-		if !ok || h < value || h == value && sl.lastUsed.Before(used) {
-			ref, value, used, ok = r, h, sl.lastUsed, true
+		if !ok || h < victimHeat || h == victimHeat && sl.lastUsed.Before(victimUsed) {
+			ref, victimHeat, victimUsed, ok = r, h, sl.lastUsed, true
 		}
 	}
-	return ref, value, ok
+	return ref, victimHeat, ok
 }
--- a/coord/scheduler/limited_test.go
+++ b/coord/scheduler/limited_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestAllTargetsRateLimited checks that requests wait as far as the targets can serve them in time.
-// The rest are refused at once, with retry delays that spread them out.
-func TestAllTargetsRateLimited(t *testing.T) {
+// TestRequestsBeyondAllRateLimitsAreRefused checks that requests wait as far as the targets can
+// serve them in time. The rest are refused at once, with retry delays that spread them out.
+func TestRequestsBeyondAllRateLimitsAreRefused(t *testing.T) {
 	h := newHarness(t, config(3), nil, nil)
 	h.setRates(map[string]float64{"t0": 2, "t1": 2})
 	waiting := 0
--- a/coord/scheduler/listing.go
+++ b/coord/scheduler/listing.go
@@ -8,7 +8,7 @@
 // forgetAfter is how long the state of an unlisted target is kept: longer than an order or a
 // request may be in flight there. Entries are lost and reappear. A target that was forgotten while
 // an order was in flight was ordered beyond its adapter slots, based on a report older than that
-// order (TestInvariantsDuringLeaderChanges, seeds 57, 66, 88).
+// order (TestInvariantsDuringLeaderChanges).
 const forgetAfter = time.Minute
 
 // SetTargets applies the list of announced targets. Unlisted targets get no requests and no orders;
--- a/coord/scheduler/loads.go
+++ b/coord/scheduler/loads.go
@@ -16,9 +16,9 @@
 )
 
 // reopenLoad handles a target's rejection of a request for an adapter that was assumed to be
-// loaded. It reports whether the load, which this VM ordered, may still be in flight. Such a load
-// counts as in flight again, which keeps the store and the target from getting more loads than they
-// can handle.
+// loaded. It reports whether the load, which this VM ordered, may still be in progress. Such a load
+// counts as in progress again, which keeps the store and the target from getting more loads than
+// they can handle.
 func (s *Scheduler) reopenLoad(now time.Time, t *target, ref coord.AdapterRef) bool {
 	sl := t.slots[ref]
 	if sl == nil || !sl.acknowledged || now.Sub(sl.initialReadyAt) >= lateLoadWindow {
@@ -64,8 +64,8 @@
 	return late
 }
 
-// observeLoadInTime records that a load was finished when a request was granted.
-func (s *Scheduler) observeLoadInTime(g *grant) {
+// observeLoadOnTime records that a load was finished when a request was granted.
+func (s *Scheduler) observeLoadOnTime(g *grant) {
 	sl := g.slot
 	if !s.measuresLoad(g) || sl.confirmed || sl.cacheMissed {
 		return
@@ -87,9 +87,9 @@
 }
 
 // hasLateLoad reports whether t rejected requests for an adapter because its load was unfinished.
-// These requests return to t: a load elsewhere would take up load capacity and finish later. In the
-// simulated burst (TestBurstOfNewAdapters, over 12 s, seeds 0 to 3) 0.859 of the requests were in
-// time without this rule and 0.917 with it.
+// These requests return to t: a load elsewhere would take up load capacity and finish later. In a
+// simulated burst of requests for new adapters (TestBurstOfNewAdapters, over 12 s) 0.859 of the
+// requests were in time without this rule and 0.917 with it.
 func (t *target) hasLateLoad(now time.Time, ref coord.AdapterRef) bool {
 	sl := t.slots[ref]
 	return sl != nil && sl.rejected && now.Sub(sl.initialReadyAt) < lateLoadWindow
@@ -97,7 +97,7 @@
 
 // Initial estimates of the time to load an adapter (coord/loadtime): from the store without
 // concurrent loads, and of an adapter that the engine has cached. With a constant of 250 ms where
-// loads take 288 ms, 1,537 of 7,722 arrivals were rejected on a quiet day.
+// loads take 288 ms, 1,537 of 7,722 arrivals at engines were rejected under light traffic.
 const (
 	initialColdLoadTime = 250 * time.Millisecond
 	initialWarmLoadTime = 25 * time.Millisecond
--- a/coord/scheduler/loadsim_engine_test.go
+++ b/coord/scheduler/loadsim_engine_test.go
@@ -12,12 +12,12 @@
 	id             string
 	slots          map[coord.AdapterRef]bool // whether the adapter is loaded
 	cachedAdapters []coord.AdapterRef        // least recently held first
-	readingUntil   time.Time                 // end of prompt reading
+	prefillUntil   time.Time                 // end of the prefill of all prompts so far
 	unresponsive   bool
 	orderCount     uint64
 }
 
-// simLoad is a load in flight; remaining is the remaining work at full speed.
+// simLoad is a load in progress; remaining is the remaining work at full speed.
 type simLoad struct {
 	engine    *simEngine
 	ref       coord.AdapterRef
@@ -122,12 +122,12 @@
 		sim.resubmit(a, r, EndedMisrouted)
 		return
 	}
-	readTime := time.Duration(float64(r.promptTokens) / sim.deployment.promptTokensPerMs * float64(time.Millisecond))
-	if e.readingUntil.Before(sim.now) {
-		e.readingUntil = sim.now
+	prefillTime := time.Duration(float64(r.promptTokens) / sim.deployment.promptTokensPerMs * float64(time.Millisecond))
+	if e.prefillUntil.Before(sim.now) {
+		e.prefillUntil = sim.now
 	}
-	e.readingUntil = e.readingUntil.Add(readTime)
-	sim.schedule(e.readingUntil.Sub(sim.now)+12*time.Millisecond, func() { sim.handleFirstEvent(a, e, r) })
+	e.prefillUntil = e.prefillUntil.Add(prefillTime)
+	sim.schedule(e.prefillUntil.Sub(sim.now)+12*time.Millisecond, func() { sim.handleFirstEvent(a, e, r) })
 }
 
 func (sim *loadSim) resubmit(a Action, r *simRequest, ending Ending) {
@@ -157,7 +157,7 @@
 	default:
 		o.late++
 	}
-	// Generating a token takes longer while other prompts are read: 1.3 times here.
+	// Generating a token takes longer while other prompts are prefilled: 1.3 times here.
 	sim.schedule(time.Duration(1.3*float64(r.outputTokens)*float64(sim.deployment.tokenTime)), func() {
 		if _, open := sim.openRequests[a.Key]; open {
 			delete(sim.openRequests, a.Key)
--- a/coord/scheduler/loadsim_test.go
+++ b/coord/scheduler/loadsim_test.go
@@ -10,8 +10,8 @@
 	"github.com/junctionfold/junctionfold/coord"
 )
 
-// deployment describes the simulated system: engines that read prompts one after another while they
-// generate, and a store that serves some loads at full speed.
+// deployment describes the simulated system: engines that prefill prompts one after another while
+// they generate, and a store that serves some loads at full speed.
 type deployment struct {
 	engines, slots, batch int
 	// cachedAdapters is how many adapters an engine can load without the store.
@@ -20,7 +20,7 @@
 	// more, all of them take proportionally longer.
 	storeConcurrency int
 	loadTime         time.Duration
-	// promptTokensPerMs is the speed of reading prompts, in tokens per ms; tokenTime is the time to
+	// promptTokensPerMs is the prefill speed, in tokens per ms; tokenTime is the time to
 	// generate a token.
 	promptTokensPerMs float64
 	tokenTime         time.Duration
@@ -102,8 +102,8 @@
 	return t
 }
 
-// score rates the answers that callers got: a late answer counts a tenth, and one in time at the
-// second attempt about half.
+// score rates the responses that callers got: a late response counts a tenth, and one in time at
+// the second attempt about half.
 func (o *outcome) score() float64 {
 	return (float64(o.inTime) + 0.55*float64(o.retriedInTime) + 0.1*float64(o.late)) / float64(max(o.submitted, 1))
 }
--- a/coord/scheduler/loadtime_test.go
+++ b/coord/scheduler/loadtime_test.go
@@ -12,9 +12,9 @@
 //
 // It guards against a fixed load time. In a deployment of 72 VMs loads took 288 ms where 250 ms
 // were expected, and the first request of each load came too early: 1,537 of 7,722 arrivals at
-// engines were rejected on a quiet day and 2,565 of 14,469 on a heavy one, each of them with a
-// retry and a wait of 60 ms. In addition every load counted as late, which reduced the limit of
-// concurrent loads to a quarter. A fleet has learnt its load time within five seconds.
+// engines were rejected under light traffic and 2,565 of 14,469 under heavy traffic, each of them
+// with a retry and a wait of 60 ms. In addition every load counted as late, which reduced the limit
+// of concurrent loads to a quarter. A fleet has learnt its load time within five seconds.
 func TestLoadTimeIsLearnt(t *testing.T) {
 	for _, load := range []time.Duration{100, 250, 288, 400, 600} {
 		d := largeFleet
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestLoadTimeChangeIsLearnt doubles the load time during a day and halves it again.
+// TestLoadTimeChangeIsLearnt doubles the load time during a simulation and halves it again.
 func TestLoadTimeChangeIsLearnt(t *testing.T) {
 	d := largeFleet
 	settled := 0
--- a/coord/scheduler/model_test.go
+++ b/coord/scheduler/model_test.go
@@ -34,8 +34,8 @@
 	grants       int
 	fencingToken uint64
 	maxLoadLimit int // the highest load limit of the scheduler so far
-	// lateLoads draws how much longer loads take than expected; nil means no longer.
-	lateLoads        *rand.Rand
+	// loadDelayRNG draws how much longer loads take than expected; nil means no longer.
+	loadDelayRNG     *rand.Rand
 	otherHolderLoads int // loads that another lease holder ordered recently
 	// faults are the additional faults of this simulation; none unless hasFaults.
 	faults faults
@@ -179,17 +179,17 @@
 		for _, e := range sim.engines {
 			sim.advanceReplacements(e)
 		}
-		return // the load limit of a new scheduler does not bound the loads it finds in flight
+		return // the load limit of a new scheduler does not bound the loads it finds in progress
 	}
 	sim.maxLoadLimit = max(sim.maxLoadLimit, sim.s.loadLimit.Max())
 	if loads := sim.s.Stats().Loads; loads < 0 || loads > sim.maxLoadLimit+sim.cfg.AdapterSlots+sim.otherHolderLoads+sim.reopenedLoads() {
-		sim.failf("%d loads in flight", loads)
+		sim.failf("%d loads in progress", loads)
 	}
 }
 
 // reopenedLoads returns the number of loads that were counted as finished, which let others begin,
-// and then turned out to be in flight. Seed 218 has five at once, each of them pending at its
-// engine.
+// and then turned out to be in progress. There may be several at once, each of them pending at its
+// engine; five were seen.
 func (sim *simulation) reopenedLoads() (n int) {
 	for _, t := range sim.s.targets {
 		for _, sl := range t.slots {
@@ -241,20 +241,19 @@
 // TestInvariantsWithLateLoads checks the same invariants with loads that take up to 0.8 s longer
 // than expected, at engines that answer 421 until the load is finished.
 //
-// It guards against freeing the slot of an adapter that is still being loaded. On a day of
-// dakchhantai-gj that the hunt generated, an engine crashed because it was ordered to load more
-// adapters than it has slots (LIMIT, hunt-6237-27; 2 of 7 runs, with logs). The load of an adapter
-// was ordered at 20.329 s and counted as finished at 20.594 s. No request arrived for it, and it
-// was evicted for another adapter at 20.906 s. The store was slow and the load was still in flight:
-// the engine answered that it does not hold the adapter, which freed the slot, and continued to
-// load it.
+// It guards against freeing the slot of an adapter that is still being loaded. In a test deployment
+// an engine crashed because it was ordered to load more adapters than it has slots. The load of an
+// adapter was ordered at 20.329 s and counted as finished at 20.594 s. No request arrived for it,
+// and it was evicted for another adapter at 20.906 s. The store was slow and the load was still in
+// progress: the engine answered that it does not hold the adapter, which freed the slot, and
+// continued to load it.
 func TestInvariantsWithLateLoads(t *testing.T) { runRandomSimulations(t, 120, true) }
 
 func runRandomSimulations(t *testing.T, seeds uint64, lateLoads bool) {
 	for seed := range seeds {
 		sim := newSimulation(t, seed)
 		if lateLoads {
-			sim.lateLoads = rand.New(rand.NewPCG(seed, 77))
+			sim.loadDelayRNG = rand.New(rand.NewPCG(seed, 77))
 		}
 		for i := range 1500 {
 			if sim.rng.IntN(4) == 0 {
--- a/coord/scheduler/modelengine_test.go
+++ b/coord/scheduler/modelengine_test.go
@@ -84,7 +84,7 @@
 	switch {
 	case e == nil:
 		sim.endRequest(a.Key, EndedUnreachable)
-	case !held, sim.lateLoads != nil && sim.now.Before(at):
+	case !held, sim.loadDelayRNG != nil && sim.now.Before(at):
 		sim.endRequest(a.Key, EndedMisrouted)
 	case sim.now.Before(at) || e.unloadPending[a.Ref] || e.replacements[a.Ref] != nil:
 		sim.endRequest(a.Key, EndedBusy)
@@ -168,10 +168,10 @@
 
 // loadDelay returns how much longer a load takes than expected.
 func (sim *simulation) loadDelay() time.Duration {
-	if sim.lateLoads == nil || sim.lateLoads.IntN(4) > 0 {
+	if sim.loadDelayRNG == nil || sim.loadDelayRNG.IntN(4) > 0 {
 		return 0
 	}
-	return time.Duration(sim.lateLoads.Int64N(int64(800 * time.Millisecond)))
+	return time.Duration(sim.loadDelayRNG.Int64N(int64(800 * time.Millisecond)))
 }
 
 func (sim *simulation) unload(a Action) {
@@ -187,7 +187,7 @@
 	if e.uses(a.Ref) {
 		sim.failf("%s ordered to unload %s in use", e.id, a.Ref)
 	}
-	if sim.lateLoads == nil || !sim.now.Before(e.slots[a.Ref]) {
+	if sim.loadDelayRNG == nil || !sim.now.Before(e.slots[a.Ref]) {
 		delete(e.slots, a.Ref)
 	} // otherwise the engine answers that it does not hold it yet, and continues to load it
 	sim.answerOrder(a, OrderAlreadyApplied)
--- a/coord/scheduler/orders.go
+++ b/coord/scheduler/orders.go
@@ -102,14 +102,14 @@
 	sl.initialReadyAt = sl.readyAt
 }
 
-// countLoad updates the number of loads from the store that are in flight.
-func (s *Scheduler) countLoad(sl *slot, inFlight bool) {
-	inFlight = inFlight && sl.fromStore
-	if sl.counted == inFlight {
+// countLoad updates the number of loads from the store that are in progress.
+func (s *Scheduler) countLoad(sl *slot, inProgress bool) {
+	inProgress = inProgress && sl.fromStore
+	if sl.counted == inProgress {
 		return
 	}
-	sl.counted = inFlight
-	if inFlight {
+	sl.counted = inProgress
+	if inProgress {
 		s.storeLoads++
 	} else {
 		s.storeLoads--
--- a/coord/scheduler/place.go
+++ b/coord/scheduler/place.go
@@ -28,7 +28,7 @@
 // capacityWait returns the expected wait for running requests to end if the batch or the memory of
 // t is full.
 func (s *Scheduler) capacityWait(t *target, r *Request) time.Duration {
-	shortage := 0.0 // missing capacity, relative to the capacity in use
+	shortage := 0.0 // missing capacity, as a fraction of the whole capacity
 	if batch := s.cfg.Batch; batch > 0 && t.running >= batch {
 		shortage = float64(t.running-batch+1) / float64(batch)
 	}
@@ -64,11 +64,12 @@
 	return total
 }
 
-// maxCachedParts bounds the number of cached prompt parts recorded per target.
-const maxCachedParts = 2048
+// maxCachedPrefixes bounds the number of cached prompt prefixes recorded per target. Beyond it, all
+// recorded prefixes of the target are dropped.
+const maxCachedPrefixes = 2048
 
 func (t *target) rememberPrompt(now time.Time, r *Request) {
-	if len(t.cachedPrefixes) > maxCachedParts {
+	if len(t.cachedPrefixes) > maxCachedPrefixes {
 		clear(t.cachedPrefixes)
 	}
 	forEachPrefix(r, func(k prefixKey, _ int) bool {
@@ -123,7 +124,7 @@
 }
 
 // minTimeToFirstEvent returns the least possible time to the first event of a waiting request if it
-// were sent now. If no target holds the adapter, the whole prompt has to be read.
+// were sent now. If no target holds the adapter, the whole prompt has to be prefilled.
 func (s *Scheduler) minTimeToFirstEvent(r *Request) time.Duration {
 	if r.Ref.IsBase() || slices.ContainsFunc(s.replicas[r.Ref], (*target).isReady) {
 		return s.speed.Overhead()
@@ -140,7 +141,8 @@
 }
 
 // bestReplica returns the target with the least expected delay that holds or loads the adapter, or
-// nil if there is none. anyUsable is false if no target is usable at all.
+// nil if there is none. A target that holds it and whose rate limit is due for a probe counts as
+// having no delay. anyUsable is false if no target is usable at all.
 func (s *Scheduler) bestReplica(now time.Time, r *Request) (best *target, delay time.Duration, anyUsable bool) {
 	consider := func(t *target) {
 		if !s.usable(now, t, r) {
--- a/coord/scheduler/replaced_test.go
+++ b/coord/scheduler/replaced_test.go
@@ -61,9 +61,8 @@
 // were sent to the id of the previous process, until its own entry is known. Its first report
 // counts these orders but does not show their loads yet.
 //
-// It guards against ordering such an engine beyond its adapter slots. On a busy machine a soak test
-// with seed 4041 reported "i-3 was ordered to load a9 with all places taken" (1 of 24 runs, and 2
-// in its first). The engine restarted at 41.666 s, accepted loads of a1 at 42.041 s and a6 at
+// It guards against ordering such an engine beyond its adapter slots, which happened in a soak test
+// on a busy machine. The engine restarted at 41.666 s, accepted loads of a1 at 42.041 s and a6 at
 // 42.291 s under its earlier id, and was known under its new id at 42.355 s. A report requested 2
 // ms later counted four orders and listed a1; a6 was still being loaded. The scheduler ordered a14,
 // a5 and a9 for the second, third and fourth slot.
--- a/coord/scheduler/replicas.go
+++ b/coord/scheduler/replicas.go
@@ -15,8 +15,9 @@
 	// replicateAboveDelay is the expected delay at an adapter's replicas above which another
 	// replica is considered.
 	replicateAboveDelay = 150 * time.Millisecond
-	// replicaDelayRatioMax is the highest ratio of the delay at a new replica to the delay at the
-	// present ones for which the new replica is loaded.
+	// replicaDelayRatioMax is the limit below which the ratio of the delay at a new replica,
+	// without the load, to the delay at the present ones has to be for the new replica to be
+	// loaded.
 	replicaDelayRatioMax = 0.6
 	// replicateMinHeat is the adapter's minimum heat, in recent requests, for which another replica
 	// is loaded.
@@ -47,8 +48,9 @@
 
 // replicate starts a load of r's adapter at one more target if the present replicas have a long
 // delay and further requests for the adapter are likely. r itself need not wait for the load. While
-// load capacity is scarce, only an adapter whose replicas make its requests miss their objective
-// gets another replica, in the next round.
+// load capacity is scarce, which means that at least half of the load limit is in use, only an
+// adapter whose replicas make its requests miss their objective gets another replica, in the next
+// round.
 func (s *Scheduler) replicate(now time.Time, r *Request, replicaDelay time.Duration) {
 	switch {
 	case !s.holdsLease() || s.heatOf(now, r.Ref) < replicateMinHeat || s.isLoadingAnywhere(r.Ref):
@@ -117,7 +119,7 @@
 	if loadLimitReached {
 		s.loadLimit.ObserveFull()
 	}
-	key := rendezvous.Hash(r.Ref.String())
+	adapterHash := rendezvous.Hash(r.Ref.String())
 	for _, id := range s.targetIDs {
 		t := s.targets[id]
 		if loadLimitReached && !t.isCached(r.Ref) || !s.usable(now, t, r) || !t.canLoad(r.Ref) {
@@ -126,7 +128,7 @@
 		d := s.expectedDelay(now, t, r) + s.expectedLoadTime(t, r.Ref)
 		cost := d + time.Duration(t.recentGrants.valueAt(now)*float64(targetCostPerRequest))
 		cost += s.speed.PrefillTime(t.pendingPromptTokens()) + s.rateCost(t)
-		cost += time.Duration(rendezvous.Weight(t.idHash, key) % uint64(tieBreakSpan))
+		cost += time.Duration(rendezvous.Weight(t.idHash, adapterHash) % uint64(tieBreakSpan))
 		if best != nil && cost >= lowestCost {
 			continue
 		}
--- a/coord/scheduler/scheduler.go
+++ b/coord/scheduler/scheduler.go
@@ -2,8 +2,8 @@
 // each engine holds.
 //
 // One VM, the leader, runs the scheduler of a service at a time and sees every request for it. The
-// scheduler answers each request with a target (a grant) or with a refusal. It orders engines to
-// load and unload adapters, with these limits:
+// decision on a request is a grant, which names a target, or a refusal. The scheduler orders
+// engines to load and unload adapters, with these limits:
 //
 //   - an engine never holds more adapters than it has slots for, including those that are being
 //     loaded or unloaded;
@@ -17,10 +17,11 @@
 // Scheduler has no clock and does no I/O: it receives events with their time and returns actions.
 // It is not safe for concurrent use. types.go has its inputs and outputs, listing.go the list of
 // targets, slots.go the known state of each target, grants.go the running requests, place.go the
-// choice of a target, replicas.go the choice of targets for loading an adapter, loads.go the duration
-// of loads (learnt, coord/loadtime), heat.go the request rate of adapters, orders.go and reports.go
-// the orders that change adapter slots and the reports that verify them, freed.go the evidence that
-// frees slots, health.go failing targets, limited.go targets that limit their request rate.
+// choice of a target, replicas.go the choice of targets for loading an adapter, loads.go the
+// duration of loads (learnt, coord/loadtime), heat.go the request rate of adapters, orders.go and
+// reports.go the orders that change adapter slots and the reports that verify them, freed.go the
+// evidence that frees slots, health.go failing targets, limited.go targets that limit their request
+// rate.
 package scheduler
 
 import (
@@ -62,7 +63,7 @@
 	// leaseSince is when this VM acquired the lease.
 	leaseSince time.Time
 	storeLoads int
-	// loadLimit bounds storeLoads, the number of loads from the store in flight.
+	// loadLimit bounds storeLoads, the number of loads from the store in progress.
 	loadLimit *loadlimit.Limit
 	// coldLoadTime is the estimated time of a load from the store at full speed, and warmLoadTime
 	// that of an adapter that the engine has cached. loadCount counts the loads.
@@ -113,7 +114,7 @@
 }
 
 // runningReportTimeout is how long a new leader waits for the other VMs to report their running
-// requests: several rounds of the roster.
+// requests before it evicts adapters: several rounds of the roster.
 const runningReportTimeout = 1500 * time.Millisecond
 
 // ReasonNotLeader is the reason for refusals by a VM that is no longer the leader. The request has
@@ -121,8 +122,9 @@
 const ReasonNotLeader = "scheduler_moved"
 
 // SetLeading sets whether this VM is the leader, and which other VMs there are. A new leader reads
-// the state of all targets and waits for the other VMs to report their running requests. A VM that
-// loses leadership refuses its waiting requests.
+// the state of all targets, and evicts no adapter until the other VMs have reported their running
+// requests or runningReportTimeout has passed. A VM that loses leadership refuses its waiting
+// requests.
 func (s *Scheduler) SetLeading(now time.Time, leading bool, others []coord.VMID) []Action {
 	gained := leading && !s.leading
 	s.leading = leading
@@ -179,7 +181,7 @@
 	return s.runRound(now)
 }
 
-// Submit requests a target. The answer is an ActGrant or an ActRefuse, returned by this call or a
+// Submit requests a target. The decision is an ActGrant or an ActRefuse, returned by this call or a
 // later one.
 func (s *Scheduler) Submit(now time.Time, r Request) []Action {
 	r.arrivedAt = now
@@ -220,9 +222,10 @@
 	})
 }
 
-// missesObjective reports whether the first event can no longer arrive within the objective.
-func (r *Request) missesObjective(now time.Time, load time.Duration) bool {
-	return r.Objective > 0 && now.Add(load).After(r.arrivedAt.Add(r.Objective))
+// missesObjective reports whether the first event can no longer arrive within the objective if the
+// request waits for a load that takes loadTime.
+func (r *Request) missesObjective(now time.Time, loadTime time.Duration) bool {
+	return r.Objective > 0 && now.Add(loadTime).After(r.arrivedAt.Add(r.Objective))
 }
 
 // Tick does all work that is due. It is to be called every 10 to 20 ms. Ends of requests, answers
@@ -238,9 +241,9 @@
 }
 
 // While many requests wait, the ends of requests are batched: each round goes over all waiting
-// requests and all targets, and the VM that schedules has other work. On the heaviest day of 72
-// VMs, simulated side by side with and without batching, that VM used 0.40 of its 0.8 cores without
-// it and 0.27 with it; 0.138 of the requests were refused without it and 0.102 with it.
+// requests and all targets, and the leader has other work. In a simulation of 72 VMs under their
+// heaviest traffic, the leader used 0.40 of its 0.8 cores without batching and 0.27 with it; 0.138
+// of the requests were refused without it and 0.102 with it.
 const (
 	// longQueue is the number of waiting requests from which ends are batched. Rounds over fewer
 	// requests take about 0.1 ms.
@@ -259,7 +262,7 @@
 	return s.runRound(now)
 }
 
-// runRound completes loads that are due, places waiting requests, and maintains every target.
+// runRound finishes loads that are due, places waiting requests, and maintains every target.
 func (s *Scheduler) runRound(now time.Time) []Action {
 	if !s.leading {
 		return s.takeActions() // there are no waiting requests and no orders to issue
@@ -297,7 +300,7 @@
 // Stats is a summary for metrics.
 type Stats struct {
 	Waiting, Running int
-	// Loads is the number of loads from the weight store in flight, and MaxLoads its limit.
+	// Loads is the number of loads from the weight store in progress, and MaxLoads its limit.
 	Loads, MaxLoads int
 	// ColdLoad and WarmLoad are the expected load times, from the store and of an adapter that the
 	// engine has cached.
--- a/coord/scheduler/scheduler_test.go
+++ b/coord/scheduler/scheduler_test.go
@@ -177,7 +177,7 @@
 	assert.Equal(t, h.expectActions(ActUnload)[0].Ref, ref("x"))
 }
 
-func TestOrderAnswers(t *testing.T) {
+func TestOrderAnswerDeterminesReportReadAndGrant(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		result OrderResult
@@ -507,11 +507,11 @@
 	h.submit("x")
 	assert.Equal(t, h.expectActions(ActRefuse)[0].Reason, "no_target")
 	h.advance(ejectionTimeMin + 1)
-	trial := h.submit("x")
+	probe := h.submit("x")
 	h.expectActions(ActGrant)
 	h.submit("x")
 	h.expectActions(ActRefuse)
-	h.collect(h.s.Done(h.now, trial, EndedOK))
+	h.collect(h.s.Done(h.now, probe, EndedOK))
 	h.submit("x")
 	h.expectActions(ActGrant)
 }
@@ -660,8 +660,8 @@
 		Key: Key{VM: "vm", Ticket: 1}, Ref: ref("x"), PromptTokens: 10_000, Objective: 500 * time.Millisecond,
 		Deadline: h.now.Add(15 * time.Second), FirstEventDeadline: h.now.Add(2 * time.Second),
 	}))
-	quickest := h.s.speed.Overhead() + h.s.speed.PrefillTime(10_000)
-	h.advance(2*time.Second - quickest)
+	minTimeToFirstEvent := h.s.speed.Overhead() + h.s.speed.PrefillTime(10_000)
+	h.advance(2*time.Second - minTimeToFirstEvent)
 	h.expectActions()
 	h.advance(1)
 	assert.Equal(t, h.expectActions(ActRefuse)[0].Reason, "caller_leaves")
--- a/coord/scheduler/slots.go
+++ b/coord/scheduler/slots.go
@@ -26,17 +26,19 @@
 type slot struct {
 	state   slotState
 	version int64
-	// readyAt is the expected end of a load.
+	// readyAt is the expected end of a load, or the time of the next attempt to use the adapter
+	// after a request was rejected because the load was unfinished.
 	readyAt time.Time
 	// confirmed reports that the adapter is known to be resident since its last load: a report
 	// showed it, or a request that was granted after the load ran. Answers to orders don't confirm
 	// it, because engines may give the same answers while a load continues. Neither do requests
 	// granted to other VMs, which may not have reached the engine yet. The answer to an unload
 	// frees the slot only if the adapter is confirmed. Otherwise a report is read first, which
-	// blocks orders to the engine for reportLag. This affects 1 in 100 unloads on days like the
-	// standard ones, and up to 1 in 5 if callers that leave request many new adapters.
+	// blocks orders to the engine for reportLag. This affects 1 in 100 unloads under usual
+	// traffic, and up to 1 in 5 if callers that leave request many new adapters.
 	confirmed bool
-	// initialReadyAt is the expected end of the load when it was ordered.
+	// initialReadyAt is the expected end of the load when it was ordered or acknowledged.
+	// Rejections do not change it.
 	initialReadyAt time.Time
 	// startedAt is when the load order was answered, as far as that indicates when the load began;
 	// zero if unknown. loadNumber identifies the load, and expectedDuration is its expected
@@ -44,7 +46,7 @@
 	startedAt        time.Time
 	loadNumber       uint64
 	expectedDuration time.Duration
-	// contended reports that so many other loads were in flight at its start that all of them may
+	// contended reports that so many other loads were in progress at its start that all of them may
 	// have been slowed down. cacheMissed reports that the engine was expected to have the adapter
 	// cached and did not.
 	contended, cacheMissed bool
@@ -56,19 +58,20 @@
 	inUse      int
 	// pinnedUntil is the time until which an aborted request may still run on the adapter.
 	pinnedUntil time.Time
-	// acknowledged is set once the target has acknowledged the load.
+	// acknowledged is set once the target has accepted the load, as shown by the answer to the
+	// order or by a report that lists the load as pending.
 	acknowledged bool
 	// answeredAt is when the order was answered or given up. It is zero while the order is in
 	// flight, and if no order was sent. During an order and for reportLag after its answer, reports
 	// are not evidence about this slot.
 	answeredAt time.Time
-	// promptTokens is the number of prompt tokens that wait for the load, to be read after it.
+	// promptTokens is the number of prompt tokens that wait for the load, to be prefilled after it.
 	promptTokens int
 	// fromStore loads count towards Scheduler.loadLimit; counted reports that this load is counted.
 	fromStore, counted bool
 	// rejected reports that the target rejected a request because the load was unfinished.
 	rejected bool
-	// startedLoad is the start of a load from the store that no request has shown to be in time or
+	// startedLoad is the start of a load from the store that no request has shown to be on time or
 	// late yet; the zero value if there is none.
 	startedLoad loadlimit.StartedLoad
 }
@@ -84,7 +87,7 @@
 	replaced bool
 	// models is the set of base models that the target holds.
 	models map[string]bool
-	// modelLoadDue is the expected end of the base model load in flight; zero if there is none.
+	// modelLoadDue is the expected end of the base model load in progress; zero if there is none.
 	modelLoadDue time.Time
 	// lastOrderedModel is the base model that the target was last ordered to load; empty if there
 	// is none.
@@ -97,13 +100,13 @@
 	// cachedAdapters has the adapters that the target held, which load faster, with the time when
 	// each was last held.
 	cachedAdapters map[coord.AdapterRef]time.Time
-	// cachedPrefixes has the prompt prefixes that the target has read, with the time of their last
-	// use.
+	// cachedPrefixes has the prompt prefixes that the target has prefilled, with the time of their
+	// last use.
 	cachedPrefixes map[prefixKey]time.Time
 
 	running int
 	tokens  int
-	// engine models the prompts that the engine has to read and its speed.
+	// engine models the prompts that the engine has to prefill and its speed.
 	engine enginecost.Engine
 
 	// readReportAt is when to read the target's report next; zero if no read is needed.
--- a/coord/scheduler/takeover_model_test.go
+++ b/coord/scheduler/takeover_model_test.go
@@ -33,7 +33,7 @@
 
 func newFaultySimulation(t *testing.T, seed uint64) *simulation {
 	sim := newSimulation(t, seed)
-	sim.lateLoads = rand.New(rand.NewPCG(seed, 77))
+	sim.loadDelayRNG = rand.New(rand.NewPCG(seed, 77))
 	sim.faults.rng = rand.New(rand.NewPCG(seed, 177))
 	return sim
 }
@@ -139,8 +139,8 @@
 // for a worker.
 //
 // It guards against four ways of ordering an engine beyond its adapter slots, which were found by
-// reading the code after an engine had crashed that way on trinacria-mappe-grown (LIMIT, on one of
-// many days). The cause of that crash itself is not known.
+// reading the code after an engine in a test deployment had crashed that way. The cause of that
+// crash itself is not known.
 //
 //   - (1) A slot was freed on an engine's answer to an unload, because the adapter was considered
 //     resident without evidence: the engine had answered a second load order with "already applied"
--- a/coord/scheduler/types.go
+++ b/coord/scheduler/types.go
@@ -12,7 +12,7 @@
 	AdapterSlots int
 	// Batch is the number of requests that an engine runs at once.
 	Batch int
-	// CacheTokens is the engine's memory for prompts and answers, in tokens.
+	// CacheTokens is the engine's memory for prompts and responses, in tokens.
 	CacheTokens int
 	// MaxLoads is the initial estimate of how many adapters may be loaded from the store at once.
 	MaxLoads int
@@ -41,7 +41,7 @@
 	BackedOff []string
 	// Objective is the target time to the first event.
 	Objective time.Duration
-	// Deadline is the time after which an answer is worthless.
+	// Deadline is the time after which a response is worthless.
 	Deadline time.Time
 	// FirstEventDeadline is when the caller gives up if no event has arrived; zero means Deadline.
 	FirstEventDeadline time.Time
@@ -59,7 +59,7 @@
 
 // The endings of a granted request.
 const (
-	// EndedOK: the answer was complete.
+	// EndedOK: the response was complete.
 	EndedOK Ending = iota
 	// EndedBusy: not run; the target had no capacity or was loading the adapter.
 	EndedBusy
@@ -115,7 +115,7 @@
 	Reason         string
 	// FencingToken is the fencing token of the lease under which an order was decided. The order
 	// must not be sent under another lease: another holder may have filled the target's slots in
-	// between (TestInvariantsDuringLeaderChanges, seed 126).
+	// between (TestInvariantsDuringLeaderChanges).
 	FencingToken uint64
 	// Basis is the state on which an order is based.
 	Basis Basis
--- a/coord/scheduler/urgency.go
+++ b/coord/scheduler/urgency.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Engines read prompts by priority and, within a priority, in order of arrival. Each priority class
-// of requests is therefore split in two: a request that would be late in any case yields to those
-// that can still be in time.
+// Engines prefill prompts by priority and, within a priority, in order of arrival. Each priority
+// class of requests is therefore split in two: a request that would be late in any case yields to
+// those that can still be in time.
 const (
 	tierInTime = iota
 	tierLate
