--- a/internal/cli/edgestatus.go
+++ b/internal/cli/edgestatus.go
@@ -102,8 +102,9 @@
 	})
 }
 
-// confirmation describes the bound on the age of the VM's copy of the store. If there
-// is a limit on that age up to which API keys can be checked, it compares the two.
+// confirmation describes the bound on the age of the VM's copy of the store. If API keys
+// can be checked only up to a maximum age of the copy, it compares the bound with that
+// maximum.
 func (m *edgeMetrics) confirmation() string {
 	if m.KeyAgeLimitMs == 0 {
 		return fmt.Sprintf("%d ms ago; no bound for keys", m.FeedConfirmedMs)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -60,8 +60,9 @@
 	return resp.Body(), nil
 }
 
-// vmCommand returns a command that queries a VM at path and prints the response: as
-// JSON with --json, otherwise with print after the response is decoded into into.
+// vmCommand returns a command that queries a VM at path and decodes the response into
+// the message into. It prints the response as JSON with --json, and calls print
+// otherwise.
 func vmCommand(use, short string, args cobra.PositionalArgs, path string, query func([]string) map[string]string,
 	into proto.Message, print func(io.Writer) error) *cobra.Command {
 	var f vmFlags
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -9,13 +9,13 @@
 
 // countAllowed returns how many of n simultaneous requests are allowed.
 func countAllowed(l *Limiter, at time.Time, n int, perSecond float64) int {
-	passed := 0
+	allowed := 0
 	for range n {
 		if ok, _ := l.Allow(at, "k", perSecond); ok {
-			passed++
+			allowed++
 		}
 	}
-	return passed
+	return allowed
 }
 
 // TestLimitIsDividedByLiveVMs checks the share that one VM allows of a limit of 70
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -53,7 +53,7 @@
 // MaxValueBytes is the configuration service's maximum size of a value.
 const MaxValueBytes = 1 << 20
 
-// Client reads both services over HTTP.
+// Client reads the configuration service and the VM list over HTTP.
 type Client struct {
 	config *resty.Client
 	list   *resty.Client
@@ -61,7 +61,7 @@
 	onRead func()
 }
 
-// readTimeout is the deadline of a request, in addition to the wait time of a watch.
+// readTimeout bounds a request. A watch may take longer by its wait time.
 const readTimeout = 2 * time.Second
 
 // NewClient returns a Client for the configuration service and the VM list at the
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -178,7 +178,8 @@
 }
 
 // checkFencingToken reports whether an order with this fencing token is accepted, and records the
-// token. If the token is stale, it returns the highest token received.
+// token. If the token is stale, it returns the highest token received. An engine that does not
+// reject stale tokens accepts every token and records none.
 func (e *Engine) checkFencingToken(token uint64) (highest uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -143,15 +143,15 @@
 	return &WeightStore{LoadTime: loadTime, loads: map[string]int{}}
 }
 
-// Fetch blocks for the duration of one load, LoadTime times the number of loads that are active
-// when it starts.
+// Fetch blocks for the duration of one load: LoadTime times the number of loads, including this
+// one, that are active when it starts.
 func (s *WeightStore) Fetch(path string) {
 	s.mu.Lock()
 	s.active++
 	s.loads[path]++
-	share := s.active
+	concurrent := s.active
 	s.mu.Unlock()
-	time.Sleep(time.Duration(share) * s.LoadTime)
+	time.Sleep(time.Duration(concurrent) * s.LoadTime)
 	s.mu.Lock()
 	s.active--
 	s.mu.Unlock()
