--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# Build, test and measure junctionfold. Every target needs only Go and make.
+# Builds, tests and measures junctionfold. All targets except hunt-regressions and mixes need only
+# Go and make.
 
 GO ?= go
 BIN := bin
@@ -32,14 +33,15 @@
 lint: $(TOOLS)/staticcheck
 	$(TOOLS)/staticcheck -checks "all,-ST1000,-ST1005" $(PACKAGES)
 
-# Tests that are known to fail, as a pattern; each is a line of KNOWN-RED.txt.
+# Pattern of the tests that are expected to fail, which KNOWN-RED.txt lists.
 KNOWN_RED := $(shell .ci/known-red KNOWN-RED.txt)
 
 race:
 	@if [ -n '$(KNOWN_RED)' ]; then echo "passed over, see KNOWN-RED.txt:"; cat KNOWN-RED.txt; fi
 	$(GO) test -race -timeout 240s $(if $(KNOWN_RED),-skip '$(KNOWN_RED)') $(PACKAGES)
 
-# The language server, for renames. It has a module of its own, as it needs another golang.org/x/tools than staticcheck.
+# The language server, for renames. It has a separate module because it needs a different version of
+# golang.org/x/tools than staticcheck.
 $(TOOLS)/gopls:
 	cd tools/gopls && GOWORK=off GOBIN=$(TOOLS) $(GO) install golang.org/x/tools/gopls
 
@@ -59,31 +61,31 @@
 policy:
 	cd coord && $(GO) test . -run xxx -bench Policy -benchtime 1x
 
-# SEED and FOR choose the faults; see platform/soak.
+# SEED and FOR set the seed and the duration of the injected faults; see platform/soak.
 SEED ?= 1
 FOR ?= 30s
 soak: build
 	$(GO) run ./platform/soak -bin $(BIN)/junctionfold -seed $(SEED) -for $(FOR)
 
-# A short run of one seed, for CI.
+# Runs one seed briefly, for CI.
 soak-short: build
 	$(GO) run ./platform/soak -bin $(BIN)/junctionfold -seed 2 -for 5s
 
-# The seeds that broke a promise once.
+# Runs the seeds that violated a guarantee before, from deploy/soak-seeds.txt.
 soak-regressions: build
 	@grep -v '^#' deploy/soak-seeds.txt | while IFS='| ' read -r seed length rest; do \
 		$(GO) run ./platform/soak -bin $(BIN)/junctionfold -seed $$seed -for $$length | head -n 1 || exit 1; \
 	done
 
-# The days that broke a rule once. FLEETBENCH is the users' bench, SITES the folder
-# that holds its site files.
+# Runs the simulated days that violated a rule before, from deploy/regressions.txt. FLEETBENCH is the
+# users' benchmark program, SITES the directory with its site files.
 hunt-regressions:
 	@grep -v '^#' deploy/regressions.txt | while IFS='|' read -r site day seed rest; do \
 		day=$$(echo $$day | sed 's,^DEPLOY,deploy,'); seed=$$(echo $$seed | sed 's,^-$$,,'); \
 		$(FLEETBENCH) run $(SITES)/$$(echo $$site).toml $$day $${seed:+--seed $$seed} --why "regression" | sed -n 2,3p; \
 	done
 
-# Days with mixed troubles, numbers FROM to TO, each on every site of SITES.
+# Runs the generated days with mixed faults numbered FROM to TO, each on every site in SITES.
 FROM ?= 1
 TO ?= 20
 mixes:
